--- a/internal/region/agent/actions.go
+++ b/internal/region/agent/actions.go
@@ -10,10 +10,10 @@
 )
 
 // action is a call that the core requests. The result of the call is posted to the core as an event. A call to another
-// agent is dropped, and no event posted, while maxPeerCalls of them are in flight.
+// agent is dropped, and no event posted, while maxPeerCalls calls to other agents are in flight.
 type action interface{ isAction() }
 
-// watchKind is the purpose of a Watch call to a control machine.
+// watchKind is the kind of a Watch call to a control machine.
 type watchKind int
 
 const (
@@ -29,14 +29,14 @@
 		kind        watchKind
 		address     string
 		request     *pb.WatchRequest
-		base        *catalog.Snapshot // the state that the request's digests describe; nil if it has none
+		base        *catalog.Snapshot // state that the request's digests describe; nil if the request has no digests
 		started     time.Duration
-		dialTimeout time.Duration // for a connection to be established
-		timeout     time.Duration // for the response to start
+		dialTimeout time.Duration // maximum time for a connection to be established
+		timeout     time.Duration // maximum time until the response starts
 	}
 	// proxyCall calls Apply on the proxy, or Status when there is nothing to apply.
 	proxyCall struct {
-		apply   *pb.ApplyRequest // nil: Status
+		apply   *pb.ApplyRequest // update for the proxy; nil: the call is Status
 		attempt deliveryAttempt
 	}
 	// shuffleCall exchanges samples of the partial views with another agent.
--- a/internal/region/agent/agent.go
+++ b/internal/region/agent/agent.go
@@ -1,14 +1,15 @@
 // Package agent implements the process that runs next to each proxy of the regional system. The agent keeps a replica
 // of the control state and of the server list, tracks the edge machines that share the quotas, and updates the proxy
 // over the loopback interface. The agent receives updates through a long poll to one control machine at a time and by
-// gossip with other agents, so that the proxy is kept up to date as long as its agent reaches any of them.
+// gossip with other agents, so that the proxy is kept up to date as long as its agent reaches a control machine or
+// another agent that is up to date.
 //
 // The package guarantees that the sequence of the replica never decreases, that a proxy is never sent state older than
 // the proxy has reported, and that a state is confirmed to a proxy only after a control machine with authority has
 // responded that it has nothing newer, to a request sent after that proxy process was first observed.
 //
-// The agent does not discover services, takes no part in handling requests, stores nothing on disk and takes no part in
-// consensus: a restarted agent begins with nothing but the addresses of the control machines.
+// The agent does not discover services, does not handle requests, stores nothing on disk and does not take part in
+// consensus: a restarted agent knows only the addresses of the control machines.
 //
 // The state is owned by one goroutine, which runs [core], a state machine without I/O apart from the log. The calls and
 // the server for other agents run in goroutines of their own and post events to the core through one bounded queue
@@ -29,8 +30,8 @@
 
 // Ports of a machine, as offsets from the first port of its port range.
 const (
-	peerPort      = 1 // the service of an agent to other agents
-	proxyLinkPort = 2 // the service of the proxy to its agent, on the loopback interface
+	peerPort      = 1 // port of the service of an agent to other agents
+	proxyLinkPort = 2 // port of the service of the proxy to its agent, on the loopback interface
 )
 
 // Options override what an agent derives from its settings. The zero value overrides nothing.
@@ -54,7 +55,7 @@
 func Run(ctx context.Context, config *settings.Settings, logger *zap.Logger) error {
 	path, err := settings.Path()
 	if err != nil {
-		path = "" // the settings were not read from a file, so that there is none to watch
+		path = "" // the settings were not read from a file, so there is no file to watch
 	}
 	return RunWith(ctx, config, logger, Options{SettingsPath: path})
 }
--- a/internal/region/agent/call_failures.go
+++ b/internal/region/agent/call_failures.go
@@ -18,8 +18,8 @@
 	failureTimeout                          // the response did not start, or was not read completely, in time
 	failureReset                            // the connection was refused, or closed by the peer
 	failureErrorResponse                    // the peer responded with an error
-	failureOther
-	failureKindCount
+	failureOther                            // any other error
+	failureKindCount                        // number of kinds
 )
 
 // failureKindOf classifies the error of a call.
--- a/internal/region/agent/caller.go
+++ b/internal/region/agent/caller.go
@@ -27,7 +27,8 @@
 	maxMessageBytes = 16 << 20
 	// connectionBufferBytes is the size of the read buffer and of the write buffer of a connection.
 	connectionBufferBytes = 2 << 10
-	// maxIdleConnections is the maximum number of idle connections, and maxIdlePerHost that to one host.
+	// maxIdleConnections is the maximum number of idle connections, and maxIdlePerHost the maximum number of idle
+	// connections to one host.
 	maxIdleConnections = 24
 	maxIdlePerHost     = 2
 	// idleTimeout is the time after which an idle connection is closed.
@@ -45,7 +46,7 @@
 	ctx       context.Context // parent of the contexts of all calls
 	running   sync.WaitGroup
 
-	controlAddress string // address of the control client; empty: there is none yet
+	controlAddress string // address of the machine that control calls; empty: there is no client yet
 	control        fieldrelayv1connect.ControlLinkClient
 }
 
@@ -97,7 +98,7 @@
 
 func baseURL(address string) string { return "http://" + address }
 
-// start starts a call, and reports false if there was no slot for it.
+// start starts a call, and reports false if maxPeerCalls calls to other agents are in flight.
 func (c *caller) start(call action) bool {
 	switch call := call.(type) {
 	case watchCall:
@@ -125,7 +126,7 @@
 	})
 }
 
-// runPeer makes a call to another agent if there is a slot for it, and reports whether there was.
+// runPeer makes a call to another agent unless maxPeerCalls of these calls are in flight, and reports whether it did.
 func (c *caller) runPeer(call func(ctx context.Context) event) bool {
 	select {
 	case c.peerSlots <- struct{}{}:
@@ -238,7 +239,7 @@
 	c.client.CloseIdleConnections()
 }
 
-// messageOf returns the message of a response, nil if response is nil.
+// messageOf returns the message of a response; nil if response is nil.
 func messageOf[T any](response *connect.Response[T]) *T {
 	if response == nil {
 		return nil
--- a/internal/region/agent/control_endpoints.go
+++ b/internal/region/agent/control_endpoints.go
@@ -18,7 +18,8 @@
 )
 
 const (
-	// failureCooldown is how long a control machine that failed is not chosen while others can be.
+	// failureCooldown is how long a control machine that failed is not chosen while other control machines are
+	// available.
 	failureCooldown = 2 * time.Second
 	// failbackCooldown is the time after its last failure from which a control machine may replace a farther one.
 	failbackCooldown = 10 * time.Second
@@ -29,11 +30,11 @@
 // controlEndpoints holds the known control machines, identified by the address of their link service. The known
 // machines are the seeds and the voters of the newest view.
 type controlEndpoints struct {
-	zone     string // of this machine
-	region   string // of this machine
+	zone     string // zone of this machine
+	region   string // region of this machine
 	random   *rand.Rand
-	seeds    []string
-	voters   []*pb.Replica
+	seeds    []string                 // link addresses of the seeds
+	voters   []*pb.Replica            // voters of the newest view
 	failures map[string]time.Duration // time of the last failure, by address
 }
 
@@ -55,7 +56,7 @@
 	e.failures[address] = now
 }
 
-// choose is like chooseExcept with one excluded machine, but returns that machine if no other one is known.
+// choose is like chooseExcept with one excluded machine, but returns the excluded machine if no other machine is known.
 func (e *controlEndpoints) choose(now time.Duration, except string) string {
 	chosen := e.chooseExcept(now, []string{except})
 	if chosen == "" && e.known(except) {
@@ -86,7 +87,7 @@
 	})
 }
 
-// known reports whether a seed or a voter has an address.
+// known reports whether a seed or a voter has the given address.
 func (e *controlEndpoints) known(address string) bool { return slices.Contains(e.addresses(), address) }
 
 // pick returns one of the nearest acceptable control machines at random, or the empty string if none is acceptable. It
@@ -146,7 +147,7 @@
 	return addresses
 }
 
-// voter returns the voter at an address, nil if there is none.
+// voter returns the voter with the given address; nil if there is none.
 func (e *controlEndpoints) voter(address string) *pb.Replica {
 	for _, voter := range e.voters {
 		if voter.GetAddress() == address {
--- a/internal/region/agent/control_link.go
+++ b/internal/region/agent/control_link.go
@@ -15,8 +15,8 @@
 const (
 	// watchWait is the maximum time that a long poll asks a control machine to wait for an update before responding.
 	watchWait = time.Second
-	// overdueMargin is the time after the wait of a long poll from which a missing response is overdue and other
-	// control machines are probed. A network partition closes no connection, so that no error reports it earlier.
+	// overdueMargin is the time after the wait of a long poll at which a missing response becomes overdue and other
+	// control machines are probed. A network partition closes no connection, so no error reports the partition earlier.
 	overdueMargin = 250 * time.Millisecond
 	// watchTimeout is the time within which the response to a long poll has to start.
 	watchTimeout = watchWait + time.Second
@@ -35,13 +35,14 @@
 const (
 	// nonAuthoritativeWait replaces watchWait for a control machine without authority.
 	nonAuthoritativeWait = 400 * time.Millisecond
-	// nonAuthoritativeProbeDelay is how long the current control machine may lack authority before others are probed.
+	// nonAuthoritativeProbeDelay is how long the current control machine may lack authority before other control
+	// machines are probed.
 	// No control machine has authority during a view change.
 	nonAuthoritativeProbeDelay = 300 * time.Millisecond
 	// nonAuthoritativeTimeout is how long a control machine without authority stays the current one.
 	nonAuthoritativeTimeout = 1500 * time.Millisecond
-	// minTenure is the minimum time that a control machine stays the current one before a nearer one replaces it. The
-	// proxy becoming ready has priority over proximity.
+	// minTenure is the minimum time for which a control machine stays the current one before a nearer control machine
+	// replaces it. Updating the proxy quickly, so that it becomes ready, has priority over proximity.
 	minTenure = time.Second
 )
 
@@ -59,8 +60,8 @@
 	// maxDoublings bounds the shift in the computation of a backoff, which would otherwise overflow.
 	maxDoublings = 10
 	// minDialTimeout and maxDialTimeout bound the time for a connection to be established. The first attempts are
-	// short, since a machine without power does not refuse connections. Each timeout makes the next one longer by half,
-	// for slow links.
+	// short, since a machine without power does not refuse connections. Each timeout makes the next timeout longer by
+	// half, for slow links.
 	minDialTimeout = 150 * time.Millisecond
 	maxDialTimeout = time.Second
 )
@@ -74,44 +75,45 @@
 
 var errDialTimeout = &dialTimeoutError{}
 
-// controlLink keeps one long poll open to one control machine at a time, the current one. While the current machine
-// does not respond or has no authority, others are probed, and the first that has authority becomes the current one.
+// controlLink keeps one long poll open to one control machine at a time, the current machine. While the current machine
+// does not respond or has no authority, other machines are probed, and the first machine that responds with authority
+// becomes the current machine.
 // Notices are requests in addition to the long poll to which control machines respond at once.
 type controlLink struct {
 	endpoints controlEndpoints
 	random    *rand.Rand
 
-	current               string        // address of the current control machine, empty at first
-	currentSince          time.Duration // when the current machine became the current one
+	current               string        // address of the current control machine; empty: none has been chosen yet
+	currentSince          time.Duration // time at which the current machine was chosen
 	established           bool          // the current machine has responded with authority, and has not failed since
 	nonAuthoritative      bool          // the last response of the current machine was without authority
-	nonAuthoritativeSince time.Duration
+	nonAuthoritativeSince time.Duration // time of the first of the consecutive responses without authority
 
-	inFlight            bool      // a long poll is in flight
-	longPoll            watchCall // the last long poll sent
-	responding          bool      // the response to the last long poll has started
-	nextLongPoll        time.Duration
+	inFlight            bool          // a long poll is in flight
+	longPoll            watchCall     // the last long poll sent
+	responding          bool          // the response to the last long poll has started
+	nextLongPoll        time.Duration // earliest time of the next long poll
 	proxyReportDeadline time.Duration // time until which the next long poll may wait for the proxy
-	consecutiveFailures int
+	consecutiveFailures int           // consecutive failures of long polls
 	consecutiveEmpty    int           // consecutive responses that arrived early without an update
-	dialTimeout         time.Duration // of the next connection
+	dialTimeout         time.Duration // time for the next connection to be established
 
 	noticesInFlight    int
-	lastNotice         watchCall
+	lastNotice         watchCall // last notice sent
 	lastNoticeInFlight bool
 	stateFetchID       uint64 // the notice in flight that fetches a state advertised in a probe response; 0: none
 	probes             probes
 
-	callCount   uint64 // calls of all kinds made so far; gives the calls their ids
+	callCount   uint64 // number of calls of all kinds made so far; the source of the ids of the calls
 	sendDigests bool   // the next request carries the replica's digests, for a repair
-	viewNumber  uint64 // of the newest view received
+	viewNumber  uint64 // number of the newest view received
 }
 
 func newControlLink(endpoints controlEndpoints, random *rand.Rand) controlLink {
 	return controlLink{endpoints: endpoints, random: random, dialTimeout: minDialTimeout}
 }
 
-// nextWatch returns the long poll that is due, nil if none is. While the proxy lacks an update, the long poll is
+// nextWatch returns the long poll that is due; nil if none is due. While the proxy lacks an update, the long poll is
 // delayed by up to proxyReportWait, so that it can report the update as applied.
 func (l *controlLink) nextWatch(now time.Duration, record *pb.AgentRecord, state *catalog.Snapshot, proxyLagging bool) *watchCall {
 	if l.inFlight || now < l.nextLongPoll {
@@ -229,7 +231,7 @@
 
 // watchOutcome is the effect of a response on the state of the agent.
 type watchOutcome struct {
-	updated       bool // the response had something newer than the replica, the membership or the view
+	updated       bool // the response contained a newer state, server list, membership or view
 	moreAvailable bool // the control machine still holds newer state than the replica
 }
 
@@ -239,7 +241,7 @@
 		l.handleProbeResponse(now, call, response, outcome)
 		return
 	}
-	// A response of a machine that has nothing newer does not cancel the request of another machine for digests.
+	// A response of a machine that has nothing newer does not cancel another machine's request for digests.
 	if outcome.moreAvailable || outcome.updated {
 		l.sendDigests = outcome.moreAvailable && (response.GetNeedDigests() || !outcome.updated)
 	}
@@ -269,7 +271,7 @@
 	l.consecutiveEmpty++
 }
 
-// adoptView adopts the voters of a view if the view is newer than the last one, and reports whether it was.
+// adoptView adopts the voters of a view if the view is newer than the last adopted view, and reports whether it was.
 func (l *controlLink) adoptView(view *pb.View) bool {
 	if view.GetNumber() <= l.viewNumber || len(view.GetVoters()) == 0 {
 		return false
@@ -280,7 +282,8 @@
 }
 
 // evaluate decides, after a response to the long poll, whether the responding machine stays the current one. A machine
-// with authority is replaced by a nearer one, and a machine that has lacked authority for too long by any other one.
+// with authority is replaced by a nearer machine after minTenure, and a machine that has lacked authority for
+// nonAuthoritativeTimeout by any other machine.
 func (l *controlLink) evaluate(now time.Duration, address string, authoritative bool) {
 	if authoritative {
 		l.established = true
@@ -311,7 +314,7 @@
 	}
 }
 
-// nextDue returns the time of the next long poll or probe. There always is one.
+// nextDue returns the time at which the next long poll or probe is due, or the long poll in flight becomes overdue.
 func (l *controlLink) nextDue(proxyLagging bool) time.Duration {
 	at := l.nextLongPoll
 	if proxyLagging {
--- a/internal/region/agent/control_probes.go
+++ b/internal/region/agent/control_probes.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxProbes is the maximum number of probes in flight. Of five control machines only one may have authority, so
-	// that the four others are probed at once.
+	// maxProbes is the maximum number of probes in flight. Of five control machines, possibly only one has
+	// authority, so the four machines other than the current one are probed at once.
 	maxProbes = 4
 	// probeWait is the maximum time that a probe asks a control machine to wait for authority before responding. After
 	// a response without authority, another machine is probed.
@@ -27,8 +27,10 @@
 // probes tracks the requests to control machines that could replace the current one. Responses to probes carry no
 // state, so that many agents may probe several machines at once.
 type probes struct {
-	inFlight         []string      // addresses being probed
-	nonAuthoritative []string      // addresses that responded without authority since the current one last had it
+	inFlight []string // addresses of the machines that are being probed
+	// nonAuthoritative holds the addresses of the machines that responded without authority since the current machine
+	// last had authority.
+	nonAuthoritative []string
 	nextStart        time.Duration // earliest time of the next probe
 }
 
@@ -70,7 +72,7 @@
 	return overdue
 }
 
-// nextProbe returns the probe that is due, nil if none is.
+// nextProbe returns the probe that is due; nil if none is due.
 func (l *controlLink) nextProbe(now time.Duration, record *pb.AgentRecord, state *catalog.Snapshot) *watchCall {
 	if now < l.nextProbeDue() {
 		return nil
@@ -92,7 +94,7 @@
 }
 
 // chooseProbeTarget returns the control machine to probe next, or the empty string if there is none. It prefers
-// machines that have not yet responded without authority, and starts over when all of them have.
+// machines that have not responded without authority, and probes all machines again once each has done so.
 func (l *controlLink) chooseProbeTarget(now time.Duration) string {
 	excluded := append(slices.Clone(l.probes.inFlight), l.current)
 	if address := l.endpoints.chooseExcept(now, slices.Concat(excluded, l.probes.nonAuthoritative)); address != "" {
--- a/internal/region/agent/core.go
+++ b/internal/region/agent/core.go
@@ -13,7 +13,7 @@
 // identity identifies one run of an agent process.
 type identity struct {
 	neighbour   shuffle.Neighbour
-	incarnation uint64 // increases from run to run
+	incarnation uint64 // number of the run, which increases from run to run
 }
 
 // core is the state machine of the agent. It does no I/O apart from the log: step takes an event and returns the calls
@@ -26,10 +26,10 @@
 	logger   *zap.Logger
 	grace    time.Duration // time between the platform's request to shut down and its killing of the process
 
-	replica     *gossip.Replica // of the control state and the server list
-	partialView *shuffle.View   // of the overlay of agents
+	replica     *gossip.Replica // replica of the control state and the server list
+	partialView *shuffle.View   // partial view of the overlay network of agents
 	gossip      *gossip.Machine // exchanges updates with other agents
-	members     membership      // edge machines, and the quota shares derived from them
+	members     membership      // edge machines, and the quota members derived from them
 	control     controlLink     // link to the control machines
 	proxy       proxyLink       // link to the proxy
 	shutdown    shutdown
@@ -50,7 +50,7 @@
 	maxTickInterval = time.Second
 )
 
-// newCore returns the state of an agent that knows nothing but the link addresses of some control machines, the seeds.
+// newCore returns the state of an agent that knows only the link addresses of some control machines, the seeds.
 func newCore(self identity, seeds []string, grace time.Duration, random *rand.Rand, logger *zap.Logger) *core {
 	replica := gossip.NewReplica()
 	view := shuffle.New(self.neighbour, random)
@@ -69,12 +69,12 @@
 	}
 }
 
-// step handles one event and returns the calls that have become due. now must not decrease from call to call.
+// step handles one event and returns the calls that have become due. The argument now must not decrease.
 func (c *core) step(now time.Duration, received event) []action {
 	sequence := c.replica.Sequence()
 	actions := c.handle(now, received)
 	if c.replica.Sequence() < sequence {
-		panic("agent: invariant broken: the sequence of the replica fell")
+		panic("agent: invariant broken: the sequence of the replica decreased")
 	}
 	c.lag.observe(now, received, c.replica.Sequence(), c.proxy.status)
 	c.lag.log(now, c.logger)
@@ -127,8 +127,8 @@
 	return c.shutdown.finished(now, &c.proxy, c.control.noticesInFlight)
 }
 
-// handleShutdownRequested begins the shutdown, and notifies the current control machine and another one of the
-// shutdown.
+// handleShutdownRequested begins the shutdown, and notifies the current control machine and another control machine of
+// the shutdown.
 func (c *core) handleShutdownRequested(now time.Duration) []action {
 	c.shutdown.begin(now, c.grace, &c.proxy)
 	c.logger.Info("shutdown requested", zap.Duration("grace", c.grace))
--- a/internal/region/agent/core_control.go
+++ b/internal/region/agent/core_control.go
@@ -13,10 +13,12 @@
 
 const (
 	// maxFirstWatchDelay is the latest time of the first long poll, whether the state of the proxy is known by then or
-	// not. A restarted agent waits for that state, so that its first report does not declare a ready proxy not ready.
+	// not. A restarted agent waits for the state of the proxy, so that its first report does not declare a ready proxy
+	// not ready.
 	maxFirstWatchDelay = 300 * time.Millisecond
-	// maxConfirmationLatency is the maximum duration of a call whose response confirms the state. A response was valid
-	// when it was written; a response that was transferred slowly may be older than the wait of a long poll.
+	// maxConfirmationLatency is the maximum duration of a call whose response confirms the state. A response is valid
+	// for the time at which it was written; a response that was transferred slowly may be older than the wait of a long
+	// poll.
 	maxConfirmationLatency = watchTimeout
 )
 
@@ -124,10 +126,10 @@
 }
 
 // fetchState requests the state that a machine without authority has advertised in its response to a probe. There may
-// be no machine with authority, and the probed machine may be the only one in reach that has a change: a replication
-// chain that is partitioned off as a whole still acknowledges changes for a while. The state is requested from one
-// machine at a time, so that several machines do not send the same state. No fetch is needed from a machine with
-// authority, since it becomes the current machine and receives the long poll.
+// be no machine with authority, and the probed machine may be the only reachable machine that has a change: a
+// replication chain that is partitioned off as a whole still acknowledges changes for a while. The state is requested
+// from one machine at a time, so that several machines do not send the same state. No fetch is needed from a machine
+// with authority, since it becomes the current machine and receives the long poll.
 func (c *core) fetchState(now time.Duration, address string) []action {
 	if c.control.stateFetchID != 0 || c.control.noticesInFlight >= maxNotices {
 		return nil // the response to a later probe advertises the state again
--- a/internal/region/agent/counters.go
+++ b/internal/region/agent/counters.go
@@ -15,27 +15,27 @@
 // counters holds the activity counters of the agent since its start.
 type counters struct {
 	watches          uint64 // calls to control machines, of all kinds
-	watchFailures    uint64
+	watchFailures    uint64 // failed calls to control machines
 	staleResponses   uint64 // responses of control machines whose state is older than the replica
-	notices          uint64
-	probes           uint64
+	notices          uint64 // notices to control machines
+	probes           uint64 // probes of control machines
 	exchanges        uint64 // calls to the proxy
 	applies          uint64 // exchanges that sent the proxy an update
-	proxyFailures    uint64
-	shuffles         uint64
-	pushes           uint64
-	compares         uint64
-	peerFailures     uint64
-	pushesReceived   uint64
-	comparesReceived uint64
-	shufflesReceived uint64
-	droppedActions   uint64 // calls to other agents beyond maxPeerCalls
+	proxyFailures    uint64 // failed calls to the proxy
+	shuffles         uint64 // Shuffle calls to other agents
+	pushes           uint64 // Push calls to other agents
+	compares         uint64 // Compare calls to other agents
+	peerFailures     uint64 // failed calls to other agents
+	pushesReceived   uint64 // Push calls of other agents
+	comparesReceived uint64 // Compare calls of other agents
+	shufflesReceived uint64 // Shuffle calls of other agents
+	droppedActions   uint64 // calls to other agents that were dropped because maxPeerCalls were in flight
 
 	watchFailureKinds failureCounts
 	proxyFailureKinds failureCounts
 	peerFailureKinds  failureCounts
 	longestWatch      time.Duration // longest successful call to a control machine, including its wait
-	largestResponse   int           // in bytes, of the responses to watches with changes or a repair
+	largestResponse   int           // size in bytes of the largest response to a watch with changes or a repair
 
 	lastLoggedAt time.Duration
 }
@@ -44,7 +44,7 @@
 func (c *counters) countResponse(duration time.Duration, response *pb.WatchResponse) {
 	c.longestWatch = max(c.longestWatch, duration)
 	if compressed := response.GetCompressed(); compressed != nil {
-		c.largestResponse = max(c.largestResponse, proto.Size(compressed)) // the decompressed update was not transferred
+		c.largestResponse = max(c.largestResponse, proto.Size(compressed)) // size on the wire
 		return
 	}
 	if len(response.GetChanges()) > 0 || response.GetRepair() != nil {
--- a/internal/region/agent/events.go
+++ b/internal/region/agent/events.go
@@ -55,7 +55,7 @@
 		request  *pb.CompareRequest
 		response chan<- *pb.CompareResponse
 	}
-	// seedsReloaded carries the link addresses of the seeds after the settings file has changed them.
+	// seedsReloaded carries the link addresses of the seeds after they have changed in the settings file.
 	seedsReloaded struct{ addresses []string }
 	// shutdownRequested reports a request to shut the process down.
 	shutdownRequested struct{}
--- a/internal/region/agent/lag.go
+++ b/internal/region/agent/lag.go
@@ -9,7 +9,8 @@
 	"fieldrelay/internal/region/lag"
 )
 
-// Thresholds of lags. A line is logged when a lag rises above its threshold, and another one when it is back below.
+// Thresholds of lags. A line is logged when a lag rises above its threshold, and another line when the lag falls below
+// the threshold again.
 const (
 	// replicaLagThreshold applies to the time that the replica has lacked a change advertised to this agent.
 	replicaLagThreshold = 500 * time.Millisecond
@@ -26,21 +27,21 @@
 	advertised   lag.Timeline // sequences advertised by control machines and other agents
 	applied      lag.Timeline // sequences of the replica
 	reported     proxyReport
-	lastProxyLag time.Duration // time from the replica having a sequence to the proxy reporting it
-	maxProxyLag  time.Duration
+	lastProxyLag time.Duration // last measured time from the replica's adoption of a sequence to the proxy's report of it
+	maxProxyLag  time.Duration // maximum of lastProxyLag
 
-	lastSource  updateSource // of the last increase of the replica's sequence
-	confirmedAt time.Duration
+	lastSource  updateSource  // source of the last increase of the replica's sequence
+	confirmedAt time.Duration // time at which a control machine with authority last had nothing newer
 
 	replicaEpisode     lag.Episode
 	proxyEpisode       lag.Episode
 	unconfirmedEpisode lag.Episode
 }
 
-// proxyReport is the sequence that a proxy process has last reported.
+// proxyReport is the last sequence that a proxy process has reported.
 type proxyReport struct {
-	incarnation   uint64
-	sequence      uint64
+	incarnation   uint64        // incarnation of the proxy process
+	sequence      uint64        // last reported sequence
 	firstReportAt time.Duration // time of the first report of that process; 0: no proxy is known
 }
 
@@ -74,13 +75,13 @@
 	m.reported.sequence = status.GetSequence()
 }
 
-// replicaLag returns how long the replica has lacked an advertised change, 0 if it lacks none.
+// replicaLag returns how long the replica has lacked an advertised change; 0 if it lacks no advertised change.
 func (m *lagMonitor) replicaLag(now time.Duration) time.Duration {
 	return m.advertised.Lag(now, m.applied.Newest(), 0)
 }
 
-// proxyLag returns how long the proxy has not reported a change that the replica has, 0 if it has reported all of them
-// or no proxy is known.
+// proxyLag returns how long the proxy has not reported a change that the replica has, 0 if the proxy has reported all
+// changes or no proxy is known.
 func (m *lagMonitor) proxyLag(now time.Duration) time.Duration {
 	if m.reported.firstReportAt == 0 {
 		return 0
@@ -91,7 +92,7 @@
 // confirm records that a control machine with authority had nothing newer than the replica.
 func (m *lagMonitor) confirm(now time.Duration) { m.confirmedAt = now }
 
-// log writes a log line when a lag rises above its threshold, and one when it is back below.
+// log writes a log line when a lag rises above its threshold, and another line when the lag falls below it again.
 func (m *lagMonitor) log(now time.Duration, logger *zap.Logger) {
 	m.logReplicaLag(now, logger)
 	m.logProxyLag(now, logger)
--- a/internal/region/agent/membership.go
+++ b/internal/region/agent/membership.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// lostMemberRetention is how long a lost proxy may still be sending requests. Its quota share is not given to other
-	// proxies earlier.
+	// lostMemberRetention is how long the proxy of a lost member may still be sending requests. The proxy's share of a
+	// quota is not assigned to other proxies before that time has passed.
 	lostMemberRetention = 60 * time.Second
-	// maxMembers is the maximum number of members of a list that are kept, and that of lost members.
+	// maxMembers is the maximum number of members that are kept of a list, and the maximum number of lost members.
 	maxMembers = 4096
 )
 
-// membership holds the known edge machines, and the quota shares derived from them. A quota is shared by the proxies of
-// all members, of the members lost recently and of this machine itself.
+// membership holds the known edge machines, and the quota members derived from them: the machines among whose proxies
+// each quota is divided. These are all members, the members lost recently and this machine itself.
 type membership struct {
 	self                *pb.Neighbour
-	source              string // control machine that assigned version
+	source              string // control machine that assigned the version
 	version             uint64
 	received            bool                  // a list has been received
 	members             []*pb.Neighbour       // members of the last list
@@ -44,7 +44,7 @@
 	}
 }
 
-// update adopts a list of members, and reports false if it adopted none: list is nil or has been adopted before.
+// update adopts a list of members. It reports false, and adopts nothing, if list is nil or has been adopted before.
 func (m *membership) update(now time.Duration, source string, list *pb.Members) bool {
 	if list == nil || m.received && source == m.source && list.GetVersion() == m.version {
 		return false
@@ -107,7 +107,7 @@
 	}
 }
 
-// updateQuotaMembers recomputes the quota shares, and gives them a new revision if they have changed.
+// updateQuotaMembers recomputes the quota members, and increments their revision if they have changed.
 func (m *membership) updateQuotaMembers() {
 	members := slices.Clone(m.members)
 	for _, lost := range m.lost {
--- a/internal/region/agent/peer_server.go
+++ b/internal/region/agent/peer_server.go
@@ -24,7 +24,7 @@
 	serverIdleTimeout = idleTimeout + 30*time.Second
 )
 
-// keepAlive detects on idle connections that the peer no longer responds.
+// keepAlive configures TCP keep-alive probes, which detect on idle connections that the peer no longer responds.
 var keepAlive = net.KeepAliveConfig{
 	Enable:   true,
 	Idle:     10 * time.Second,
@@ -33,7 +33,7 @@
 }
 
 // errBusy is the error of a call that is rejected because the event queue is full.
-var errBusy = errors.New("the agent is busy")
+var errBusy = errors.New("accept call of another agent: event queue is full")
 
 // peerService implements the service to other agents. It is safe for concurrent use.
 type peerService struct {
--- a/internal/region/agent/process.go
+++ b/internal/region/agent/process.go
@@ -116,7 +116,7 @@
 		case <-hangups:
 			p.applySeeds(p.seeds.reload())
 		case <-shutdown:
-			shutdown = nil // the event is posted once
+			shutdown = nil // shutdownRequested is passed to the core only once
 			received = shutdownRequested{}
 		case err := <-served:
 			return errors.Wrap(err, "serve the other agents")
--- a/internal/region/agent/proxy_link.go
+++ b/internal/region/agent/proxy_link.go
@@ -22,16 +22,16 @@
 	proxyRetryInterval = 50 * time.Millisecond
 	// exchangeTimeout is the time within which the response of the proxy has to start.
 	exchangeTimeout = 2 * time.Second
-	// minQuotaMembersInterval is the minimum time between two deliveries of quota shares.
+	// minQuotaMembersInterval is the minimum time between two deliveries of the quota members.
 	minQuotaMembersInterval = time.Second
 )
 
-// proxyLink keeps the proxy of this agent up to date. One exchange at a time sends the proxy what its last status
-// lacks, or requests the status when the proxy lacks nothing.
+// proxyLink keeps the proxy of this agent up to date. One exchange at a time sends the proxy an update of everything
+// that is missing according to its last status, or requests the status if nothing is missing.
 type proxyLink struct {
 	inFlight                bool
 	nextExchange            time.Duration   // time of the next exchange when there is no update
-	status                  *pb.ProxyStatus // the last status received; nil: none yet
+	status                  *pb.ProxyStatus // last status received; nil: none has been received yet
 	reachable               bool            // the last exchange succeeded
 	unreachableSince        time.Duration   // time of the first of the consecutive failures
 	connectionRefused       bool            // the last exchange failed because no process listened at the proxy's address
@@ -39,12 +39,12 @@
 	discoveredAt            time.Duration   // time at which the proxy process of status was first observed
 	confirmed               bool            // a request to a control machine sent since discoveredAt has confirmed the state
 	confirmationDelivered   bool
-	quotaMembersDeliveredAt time.Duration // time at which this proxy process was last sent quota shares; 0: never
+	quotaMembersDeliveredAt time.Duration // time at which this proxy process was last sent the quota members; 0: never
 	lastAttempt             deliveryAttempt
 }
 
-// deliveryAttempt identifies the contents of an Apply. Contents that the proxy did not apply are not sent again before
-// the next exchange is due; anything newer is sent at once.
+// deliveryAttempt identifies the contents of an Apply request. Contents that the proxy did not apply are not sent again
+// before the next exchange is due; newer contents are sent at once.
 type deliveryAttempt struct {
 	sequence             uint64
 	list                 *pb.ListVersion
@@ -53,7 +53,7 @@
 	digests              bool
 }
 
-// nextCall returns the call that is due, nil if none is.
+// nextCall returns the call that is due; nil if none is due.
 func (l *proxyLink) nextCall(now time.Duration, replica *gossip.Replica, members *membership) *proxyCall {
 	if l.inFlight {
 		return nil
@@ -82,8 +82,8 @@
 	return &proxyCall{}
 }
 
-// pendingUpdate returns what the proxy lacks, nil if the proxy lacks nothing. The update contains nothing older than
-// what the proxy has reported.
+// pendingUpdate returns the update that the proxy lacks; nil if the proxy lacks nothing. The update contains nothing
+// older than the proxy has reported.
 func (l *proxyLink) pendingUpdate(now time.Duration, replica *gossip.Replica, members *membership) (*pb.ApplyRequest, deliveryAttempt) {
 	apply := &pb.ApplyRequest{}
 	var attempt deliveryAttempt
@@ -114,7 +114,7 @@
 }
 
 // addStateUpdate adds the changes that the proxy lacks, or a repair if the changes are no longer available or the proxy
-// cannot use changes, and reports whether the proxy lacks any.
+// cannot use changes, and reports whether the proxy lacks any change.
 func (l *proxyLink) addStateUpdate(apply *pb.ApplyRequest, replica *gossip.Replica) bool {
 	if replica.Sequence() <= l.status.GetSequence() {
 		return false
@@ -128,7 +128,8 @@
 	return true
 }
 
-// quotaMembersDue reports whether the proxy lacks the current quota shares and minSharesInterval allows sending them.
+// quotaMembersDue reports whether the proxy lacks the current quota members and minQuotaMembersInterval allows sending
+// them.
 func (l *proxyLink) quotaMembersDue(now time.Duration, members *membership) bool {
 	if !members.received || proto.Equal(l.status.GetShares(), members.quotaMembers.GetVersion()) {
 		return false
--- a/internal/region/agent/response_progress.go
+++ b/internal/region/agent/response_progress.go
@@ -12,7 +12,7 @@
 
 const (
 	// stallTimeout is the time without any received byte after which a response that has started is abandoned. A slow
-	// response is read to its end: a second request would be as slow, and take bandwidth from other transfers.
+	// response is read to its end: a second request would be as slow, and would take bandwidth from other transfers.
 	stallTimeout = 1500 * time.Millisecond
 	// maxCallDuration is the maximum duration of a call, whatever its progress.
 	maxCallDuration = 20 * time.Second
@@ -59,7 +59,7 @@
 	}
 }
 
-// responseProgressOf returns the progress of the call with a context, nil if the context has none.
+// responseProgressOf returns the progress of the call that a context belongs to; nil if the context belongs to none.
 func responseProgressOf(ctx context.Context) *responseProgress {
 	progress, _ := ctx.Value(responseProgressKey{}).(*responseProgress)
 	return progress
@@ -112,7 +112,7 @@
 	return time.Since(p.startedAt)
 }
 
-// end stops the timer. Progress recorded later does not restart it.
+// end stops the timer. Progress that is recorded later does not restart the timer.
 func (p *responseProgress) end() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/region/agent/seeds.go
+++ b/internal/region/agent/seeds.go
@@ -18,13 +18,13 @@
 
 // seedsWatcher watches the seeds in the settings file. It is not safe for concurrent use.
 type seedsWatcher struct {
-	path     string // of the settings file; empty: there is no file
+	path     string // path of the settings file; empty: there is no file
 	logger   *zap.Logger
 	resolve  func(seed string) (string, error)
-	seeds    []string // link addresses of the seeds as last read
-	modified time.Time
-	size     int64
-	polledAt time.Duration
+	seeds    []string      // link addresses of the seeds as last read
+	modified time.Time     // modification time of the file when it was last read
+	size     int64         // size of the file when it was last read
+	polledAt time.Duration // time of the last check of the file
 }
 
 // newSeedsWatcher returns a watcher of the file at path, from which the link addresses in seeds were read.
--- a/internal/region/agent/shutdown.go
+++ b/internal/region/agent/shutdown.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// graceMargin is the part of the platform's grace period that is kept as a reserve.
+	// graceMargin is the time before the end of the platform's grace period at which the process exits in any case.
 	graceMargin = time.Second
-	// proxyExitTimeout is how long the proxy must have been unreachable before it counts as exited. A refused
-	// connection counts at once: the proxy has exited, and proxy and agent are restarted together.
+	// proxyExitTimeout is how long the proxy must have been unreachable before it counts as exited. After a refused
+	// connection the proxy counts as exited at once; proxy and agent are restarted together.
 	proxyExitTimeout = 300 * time.Millisecond
 )
 
@@ -15,7 +15,7 @@
 type shutdown struct {
 	requested        bool
 	deadline         time.Duration // time at which the process exits in any case
-	proxyIncarnation uint64        // of the proxy process to wait for; 0: none was known
+	proxyIncarnation uint64        // incarnation of the proxy process to wait for; 0: no proxy process was known
 }
 
 // begin starts the shutdown with the grace period of the platform. Further calls do nothing.
--- a/internal/region/agent/update_source.go
+++ b/internal/region/agent/update_source.go
@@ -2,15 +2,15 @@
 
 import pb "fieldrelay/api/fieldrelay/v1"
 
-// updateSource is the way by which a change of the control state reached this agent.
+// updateSource is the kind of message by which a change of the control state reached this agent.
 type updateSource int
 
 const (
 	sourceUnknown updateSource = iota
-	sourceChanges              // a control machine's response with changes
-	sourceRepair               // a control machine's response with a repair
-	sourcePush                 // another agent's push
-	sourceCompare              // another agent's response to a comparison
+	sourceChanges              // response of a control machine, with changes
+	sourceRepair               // response of a control machine, with a repair
+	sourcePush                 // Push call of another agent
+	sourceCompare              // response of another agent to a Compare call
 )
 
 // String returns the name of the source in the log.
@@ -62,7 +62,7 @@
 	return 0
 }
 
-// lastSequence returns the sequence of the last one of consecutive changes, 0 if there are none.
+// lastSequence returns the sequence of the last of several consecutive changes; 0 if there are none.
 func lastSequence(changes []*pb.Change) uint64 {
 	if len(changes) == 0 {
 		return 0
--- a/internal/region/agent/violations.go
+++ b/internal/region/agent/violations.go
@@ -11,7 +11,7 @@
 // replica never decreases is checked by core.step, which panics.
 type violations struct {
 	proxyRegressed uint64 // a proxy process reported a lower sequence than before
-	staleSent      uint64 // an exchange sent something no newer than what the proxy had reported
+	staleSent      uint64 // an exchange sent a state or a server list no newer than the proxy had reported
 }
 
 // total returns the number of violations of all kinds.
@@ -28,7 +28,7 @@
 		zap.Uint64("proxy_sequence", current.GetSequence()))
 }
 
-// checkSent compares an update for the proxy with what the proxy last reported.
+// checkSent compares an update for the proxy with the status that the proxy last reported.
 func (v *violations) checkSent(logger *zap.Logger, apply *pb.ApplyRequest, reported *pb.ProxyStatus) {
 	if !carriesStale(apply, reported) {
 		return
@@ -37,7 +37,7 @@
 	logger.Error("stale update sent to proxy", zap.Uint64("proxy_sequence", reported.GetSequence()))
 }
 
-// carriesStale reports whether some part of an update is no newer than what the proxy reported.
+// carriesStale reports whether the state or the server list in an update is no newer than the proxy reported.
 func carriesStale(apply *pb.ApplyRequest, reported *pb.ProxyStatus) bool {
 	if repair := apply.GetRepair(); repair != nil && repair.GetSequence() <= reported.GetSequence() {
 		return true
