--- a/internal/region/chain/append.go
+++ b/internal/region/chain/append.go
@@ -20,7 +20,7 @@
 			continue
 		}
 		if err := r.applyChange(&output, change); err != nil {
-			r.requestSyncOnce(&output) // a change before it is missing
+			r.requestSyncOnce(&output) // a change before this one is missing
 			break
 		}
 	}
@@ -30,8 +30,8 @@
 	return output
 }
 
-// answerDuplicate answers an Append without a new change. The predecessor sends one if the acknowledgement was lost, or
-// if it has restarted and does not know what is committed.
+// answerDuplicate answers an Append without a new change. The predecessor sends such an Append if the
+// acknowledgement was lost, or if it has restarted and does not know up to which sequence the state is committed.
 func (r *Replica) answerDuplicate(output *Output) {
 	switch {
 	case r.isLearner():
@@ -41,8 +41,8 @@
 	}
 }
 
-// awaitsAcknowledge reports whether an acknowledgement of the successor is missing: that of a change, or the first one
-// of the view, which tells this replica what is committed.
+// awaitsAcknowledge reports whether an acknowledgement of the successor is missing: the acknowledgement of a change, or
+// the first acknowledgement in the view, which contains the sequence up to which the state is committed.
 func (r *Replica) awaitsAcknowledge() bool {
 	if r.successor() == nil || !r.synchronized {
 		return false
@@ -51,7 +51,8 @@
 }
 
 // sendAppend sends the successor the changes that it has not acknowledged, if the history reaches back that far.
-// Otherwise it sends only the last change: the successor then acknowledges what is committed, or requests a repair.
+// Otherwise it sends only the last change: the successor then acknowledges the committed sequence, or requests a
+// repair.
 func (r *Replica) sendAppend(output *Output) {
 	changes, found := r.state.History.Since(r.acknowledged)
 	if !found {
--- a/internal/region/chain/builder.go
+++ b/internal/region/chain/builder.go
@@ -9,12 +9,12 @@
 
 // builder assembles a chain, member by member.
 type builder struct {
-	voters     []*pb.Replica
-	candidates map[string]Candidate
-	required   Requirement
-	chain      []*pb.Replica
-	// diskFaulty are members whose disks reject writes. They stay at the end of the chain until the other members meet
-	// the requirement: the copies on their disks may be the only ones that survive the next failure.
+	voters     []*pb.Replica        // voters of the next view
+	candidates map[string]Candidate // state of the voters, by identity
+	required   Requirement          // redundancy that the chain needs
+	chain      []*pb.Replica        // members chosen so far, the head first
+	// diskFaulty holds the members whose disks reject writes. They stay at the end of the chain until the other members
+	// meet the requirement: the copies on their disks may be the only ones that survive the next failure.
 	diskFaulty []*pb.Replica
 }
 
@@ -98,7 +98,7 @@
 	}
 }
 
-// addsDomain reports whether a replica is in a failure domain without a member.
+// addsDomain reports whether a replica is in a failure domain that has no member in the chain.
 func (b *builder) addsDomain(replica *pb.Replica) bool {
 	newRegion := b.required.Regions > 1 && countInDomain(b.chain, replica, (*pb.Replica).GetRegion) == 0
 	return newRegion || countInDomain(b.chain, replica, (*pb.Replica).GetZone) == 0
@@ -119,7 +119,8 @@
 	return best
 }
 
-// isEligible reports whether a voter may be added. If urgent is set, the voter need not be stable or synchronized.
+// isEligible reports whether a voter may be added to the chain. If urgent is set, the voter need not be stable or
+// synchronized.
 func (b *builder) isEligible(voter *pb.Replica, urgent bool) bool {
 	candidate := b.candidate(voter)
 	if !candidate.Healthy || candidate.Leaving || quorum.IndexOf(b.chain, voter.GetIdentity()) != quorum.NotFound {
@@ -128,9 +129,9 @@
 	return urgent || (candidate.Stable && candidate.Synchronized)
 }
 
-// spreadsBetter reports whether a is in a failure domain with fewer members than that of other. Regions are compared
-// first if the chain must survive the loss of one. Otherwise only zones are compared, so that links between regions are
-// avoided where possible.
+// spreadsBetter reports whether the failure domain of a has fewer members than the failure domain of other. Regions are
+// compared first if the chain must survive the loss of a region. Otherwise only zones are compared, so that links
+// between regions are avoided where possible.
 func (b *builder) spreadsBetter(a, other *pb.Replica) bool {
 	if b.required.Regions > 1 {
 		inRegion := countInDomain(b.chain, a, (*pb.Replica).GetRegion)
--- a/internal/region/chain/commit.go
+++ b/internal/region/chain/commit.go
@@ -70,7 +70,7 @@
 }
 
 // appendToLearners sends the learners the changes that were committed after a state. The message is not retried: a
-// learner that misses one detects that by the tail's heartbeats and requests a repair.
+// learner that misses a message detects the gap by the tail's heartbeats and requests a repair.
 func (r *Replica) appendToLearners(output *Output, before *catalog.Snapshot) {
 	changes, found := r.state.History.Since(before.Sequence())
 	if !found {
--- a/internal/region/chain/next_chain.go
+++ b/internal/region/chain/next_chain.go
@@ -11,11 +11,11 @@
 
 // Candidate is what is known of a voter that may be a member of the next chain.
 type Candidate struct {
-	Healthy      bool // reachable, and its disk works
-	Reachable    bool // not suspected to have failed, whether its disk works or not
-	Synchronized bool // advertises that it is synchronized in the view in force
-	Stable       bool // has run without a failure for long enough to be added to a chain that is already redundant
-	Leaving      bool // has announced its graceful shutdown: stays a member only until the others are redundant enough
+	Healthy      bool // the voter is reachable, and its disk works
+	Reachable    bool // the voter is not suspected to have failed, whether its disk works or not
+	Synchronized bool // the voter advertises that it is synchronized in the view in force
+	Stable       bool // the voter has run without a failure for long enough to be added to a chain that is already redundant
+	Leaving      bool // the voter has announced its graceful shutdown: it stays only until the others are redundant enough
 }
 
 // Change describes how a chain differs from the previous one.
@@ -24,8 +24,8 @@
 	Addition bool // a member was added
 }
 
-// NextChain returns the chain that should follow that of the view, chosen among the next voters, and how it differs. It
-// returns nil if no healthy member is synchronized: with any other head, committed changes could be lost.
+// NextChain returns the chain that should follow the chain of the view, chosen among the next voters, and how the two
+// differ. It returns nil if no healthy member is synchronized: with any other head, committed changes could be lost.
 func NextChain(
 	view *pb.View, voters []*pb.Replica, candidates map[string]Candidate, required Requirement,
 ) ([]*pb.Replica, Change) {
--- a/internal/region/chain/pacer.go
+++ b/internal/region/chain/pacer.go
@@ -12,9 +12,9 @@
 // pacer delays the retry of a large message while the message may still be in flight: sending it twice would only
 // congest a slow link further. All times are in ticks. With the zero value, a retry is due.
 type pacer struct {
-	retryTicks    int  // until a retry is due
-	ageTicks      int  // since the last send
-	transitTicks  int  // time that the message takes to the next machine over a slow link
+	retryTicks    int  // remaining time until a retry is due
+	ageTicks      int  // time since the last send
+	transitTicks  int  // time that the last message takes to reach the next machine over a slow link
 	isUndelivered bool // the last message is known not to have arrived
 }
 
@@ -40,8 +40,8 @@
 	return p.transitTicks > minRetryTicks && p.retryTicks > 0 && p.ageTicks <= p.transitTicks && !p.isUndelivered
 }
 
-// recordUndelivered makes a retry due at the next tick, but no earlier than minRetryTicks after the send: a message that
-// fails immediately every time must not be sent more often than a small one.
+// recordUndelivered makes a retry due at the next tick, but no earlier than minRetryTicks after the send: a message
+// that fails immediately every time must not be sent more often than a small one.
 func (p *pacer) recordUndelivered() {
 	p.retryTicks = min(p.retryTicks, max(0, minRetryTicks-p.ageTicks))
 	p.isUndelivered = true
--- a/internal/region/chain/position.go
+++ b/internal/region/chain/position.go
@@ -42,7 +42,8 @@
 	return position != quorum.NotFound && position == len(r.state.View.GetChain())-1
 }
 
-// predecessor returns the replica with which this one synchronizes: the tail for a learner, nil for the head.
+// predecessor returns the replica from which this one receives changes and state: the tail for a learner, nil for the
+// head.
 func (r *Replica) predecessor() *pb.Replica {
 	switch position := r.position(); position {
 	case 0:
--- a/internal/region/chain/redundancy.go
+++ b/internal/region/chain/redundancy.go
@@ -15,7 +15,7 @@
 }
 
 // MetBy reports whether a chain is redundant enough. If the voters span fewer zones or regions than required, the chain
-// has to span all of those.
+// has to span all zones or regions of the voters.
 func (q Requirement) MetBy(chain, voters []*pb.Replica) bool {
 	if len(chain) < q.Replicas {
 		return false
--- a/internal/region/chain/replica.go
+++ b/internal/region/chain/replica.go
@@ -12,7 +12,7 @@
 	Message *pb.Message
 }
 
-// Output is the reaction to an event.
+// Output contains the actions that result from an event.
 type Output struct {
 	// Writes must be persisted together and in the order of the outputs. WritesPersisted must then be called, once for
 	// each output that has writes. No message in any output depends on a write that is not on disk.
@@ -22,7 +22,7 @@
 	Committed bool
 }
 
-// Advertised is what a replica advertises to other machines. It describes only state that is on disk.
+// Advertised is the state that a replica advertises to other machines. It describes only state that is on disk.
 type Advertised struct {
 	ViewNumber uint64
 	Sequence   uint64
@@ -34,26 +34,26 @@
 // Replica is the state machine of one member of the chain, or of a learner outside of it. Its methods are events, which
 // return the resulting actions as an Output, and queries.
 type Replica struct {
-	self        string // identity
-	state       State  // after all writes of the outputs so far, on disk or not
-	unpersisted int    // number of outputs with writes that are not on disk yet
-	advertised  Advertised
+	self        string     // identity of this replica
+	state       State      // state after all writes of the outputs so far, on disk or not
+	unpersisted int        // number of outputs with writes that are not on disk yet
+	advertised  Advertised // what heartbeats may advertise; describes state on disk
 
 	// The fields below are reset with each view.
-	synchronized     bool   // holds the state of the view: its predecessor's, or its own if it is the head
-	commitKnown      bool   // the replica knows what is committed in the view
-	acknowledged     uint64 // sequence that the successor has acknowledged
-	appendPacer      pacer  // of appends to the successor
-	appendBase       uint64 // sequence that the changes of the last append follow
-	heartbeatsBehind int    // number of consecutive heartbeats of a predecessor that is ahead
-	request          *syncRequest
-	responsePacers   map[string]*pacer // of sync responses, by identity of the receiver
+	synchronized     bool              // the replica holds the state of the view (see enterView and restoreState)
+	commitKnown      bool              // the replica knows up to which sequence the state is committed in the view
+	acknowledged     uint64            // highest sequence that the successor has acknowledged
+	appendPacer      pacer             // pacer of appends to the successor
+	appendBase       uint64            // sequence before the changes of the last append
+	heartbeatsBehind int               // number of consecutive heartbeats in which the predecessor is ahead
+	request          *syncRequest      // pending sync request; nil: none
+	responsePacers   map[string]*pacer // pacers of sync responses, by identity of the receiver
 	standbys         []*pb.Replica     // learners without a vote that have synchronized with this replica
 
 	earlyRequests map[string]*pb.Message // sync requests that cannot be answered yet, by identity of the sender
 	previous      *catalog.Snapshot      // state before the last change; nil after a repair
 	committed     *catalog.Snapshot      // newest state known to be committed; nil before the first
-	syncToken     uint64                 // token of the last sync request
+	syncToken     uint64                 // token of the last sync request, see syncRequest
 }
 
 // maxEarlyRequests limits the number of early requests, and of pacers of sync responses, that a replica stores.
@@ -79,7 +79,7 @@
 // Newest returns the state to which the next change applies.
 func (r *Replica) Newest() *catalog.Snapshot { return r.state.Newest }
 
-// Advertised returns what may be advertised to other machines.
+// Advertised returns the state that may be advertised to other machines.
 func (r *Replica) Advertised() Advertised { return r.advertised }
 
 // Committed returns the newest state that is known to be committed, or nil if none is known yet.
@@ -109,8 +109,7 @@
 	return nil
 }
 
-// AcceptsProposals reports whether a change may be proposed: the replica is the head, and the previous change is
-// committed.
+// AcceptsProposals reports whether a change may be proposed: the replica is the head, and its whole state is committed.
 func (r *Replica) AcceptsProposals() bool {
 	return r.isHead() && r.FullyCommitted()
 }
@@ -126,7 +125,8 @@
 // Synchronized reports whether the replica holds the state of its view.
 func (r *Replica) Synchronized() bool { return r.synchronized }
 
-// KnowsCommitted reports whether the replica knows what is committed in its view.
+// KnowsCommitted reports whether the replica is synchronized and knows up to which sequence the state is committed in
+// its view.
 func (r *Replica) KnowsCommitted() bool { return r.synchronized && r.commitKnown }
 
 // Propose appends a change at the head. AcceptsProposals must hold. The error is a *catalog.SequenceError if the change
@@ -172,7 +172,7 @@
 	return output
 }
 
-// advertise updates what the replica advertises. All of the state must be on disk.
+// advertise updates the advertised state. The whole state must be on disk.
 func (r *Replica) advertise() {
 	r.advertised = Advertised{
 		ViewNumber:   r.state.View.GetNumber(),
--- a/internal/region/chain/state.go
+++ b/internal/region/chain/state.go
@@ -10,9 +10,9 @@
 
 // State is the durable state of a replica.
 type State struct {
-	View             *pb.View // in force; nil before the machine has joined a view
-	SynchronizedView uint64   // Newest holds all that was committed in the views up to this one
-	Newest           *catalog.Snapshot
+	View             *pb.View          // view in force; nil before the machine has entered a view
+	SynchronizedView uint64            // number of a view: Newest holds all changes that were committed in the views up to it
+	Newest           *catalog.Snapshot // control state after the last change, committed or not
 	// History keeps the last changes that led to Newest. The replica that is created from the state owns it.
 	History *catalog.History
 }
@@ -68,8 +68,9 @@
 	return quorum.IndexOf(s.View.GetChain(), identity)
 }
 
-// isSynchronized reports whether the replica is a member of the chain in force and holds all committed changes. It does
-// if it is synchronized with the previous view: nothing can have been committed in the view in force without it.
+// isSynchronized reports whether the replica is a member of the chain in force and holds all committed changes. It
+// holds all committed changes if it is synchronized with the previous view: nothing can have been committed in the view
+// in force without it.
 func (s *State) isSynchronized(identity string) bool {
 	return s.position(identity) != quorum.NotFound && s.SynchronizedView+1 >= s.View.GetNumber()
 }
--- a/internal/region/chain/sync_request.go
+++ b/internal/region/chain/sync_request.go
@@ -5,14 +5,15 @@
 	"fieldrelay/internal/region/catalog"
 )
 
-// Delays, in ticks, before a sync request is retried. The delay doubles with each retry, from the first to the maximum.
+// Delays, in ticks, before a sync request is retried. The delay doubles with each retry, from firstSyncRetryTicks
+// to maxSyncRetryTicks.
 const (
 	firstSyncRetryTicks = 2
 	maxSyncRetryTicks   = 4
 )
 
-// syncRequest is a pending request for the predecessor's state. A retry with the digests of the same snapshot belongs to
-// the same request but has a token of its own.
+// syncRequest is a pending request for the predecessor's state. A retry with the digests of the same snapshot belongs
+// to the same request but has a token of its own.
 type syncRequest struct {
 	firstToken uint64            // token of the first attempt
 	lastToken  uint64            // token of the last attempt; a response to any attempt is accepted
@@ -50,9 +51,9 @@
 	return withoutToken, items[0].GetSequence()
 }
 
-// ObserveHeartbeat compares the sequence that the predecessor advertises with this replica's. If two consecutive
-// heartbeats are ahead, an append was probably lost, and the replica requests the predecessor's state. A single
-// heartbeat that is ahead may only have overtaken an append.
+// ObserveHeartbeat compares the sequence that the predecessor advertises with the sequence of this replica. If two
+// consecutive heartbeats are ahead, an append was probably lost, and the replica requests the predecessor's state. A
+// single heartbeat that is ahead may only have overtaken an append.
 func (r *Replica) ObserveHeartbeat(from *pb.Replica, heartbeat *pb.Heartbeat) Output {
 	var output Output
 	if !r.isPredecessor(from) || heartbeat.GetViewNumber() != r.state.View.GetNumber() {
@@ -76,8 +77,8 @@
 	}
 }
 
-// requestSync sends a request for the predecessor's state. It is a retry if the pending request is for the same
-// snapshot.
+// requestSync sends a request for the predecessor's state. The request is a retry if the pending request is for the
+// same snapshot.
 func (r *Replica) requestSync(output *Output) {
 	r.syncToken++
 	if r.request == nil || r.request.base != r.state.Newest {
@@ -131,7 +132,8 @@
 	return output
 }
 
-// restoreState replaces the state by that of the predecessor. This discards changes that the predecessor does not hold.
+// restoreState replaces the state by the state of the predecessor, which discards changes that the predecessor does not
+// hold.
 // A malformed repair changes nothing; the request is then retried.
 func (r *Replica) restoreState(output *Output, repair *pb.Repair) {
 	next, err := r.state.Newest.Restore(repair)
--- a/internal/region/chain/sync_response.go
+++ b/internal/region/chain/sync_response.go
@@ -9,8 +9,8 @@
 )
 
 // SyncRequest handles a request for this replica's state. The request is answered immediately if the replica holds the
-// state of the request's view. Otherwise it is stored until the replica does; the replica may not have adopted that view
-// yet.
+// state of the request's view. Otherwise the request is stored until the replica holds that state; the replica may not
+// have adopted the view yet.
 func (r *Replica) SyncRequest(message *pb.Message) Output {
 	var output Output
 	number := message.GetSyncRequest().GetViewNumber()
@@ -45,7 +45,7 @@
 	}
 }
 
-// answerEarlyRequests answers the voters' early requests. Other machines retry theirs.
+// answerEarlyRequests answers the early requests of voters. Other machines retry their requests.
 func (r *Replica) answerEarlyRequests(output *Output) {
 	for _, voter := range r.state.View.GetVoters() {
 		message, found := r.earlyRequests[voter.GetIdentity()]
@@ -110,7 +110,7 @@
 }
 
 // responsePacer returns the pacer of responses to a machine. At most maxEarlyRequests pacers are stored for a view; the
-// requests of further machines are always answered.
+// requests of further machines are answered without a delay.
 func (r *Replica) responsePacer(identity string) *pacer {
 	responsePacer, known := r.responsePacers[identity]
 	if !known {
--- a/internal/region/chain/view.go
+++ b/internal/region/chain/view.go
@@ -6,7 +6,7 @@
 )
 
 // Adopt enters a later view that was decided. From then on the replica rejects messages of earlier views, so that the
-// head of an earlier view can no longer commit. An earlier view, or the one in force, is ignored.
+// head of an earlier view can no longer commit. An earlier view, or the view in force, is ignored.
 func (r *Replica) Adopt(view *pb.View) Output {
 	var output Output
 	if view.GetNumber() <= r.state.View.GetNumber() {
@@ -20,7 +20,7 @@
 }
 
 // leaveView raises the synchronized view to the view in force if nothing can have been committed in that view without
-// this replica. From then on the replica acknowledges nothing in it.
+// this replica. From then on the replica acknowledges nothing in that view.
 func (r *Replica) leaveView() {
 	if r.state.isSynchronized(r.self) {
 		r.state.SynchronizedView = max(r.state.SynchronizedView, r.state.View.GetNumber())
@@ -46,7 +46,7 @@
 	r.discardStaleRequests()
 }
 
-// isCurrent reports whether a message of a view number belongs to the view in force.
+// isCurrent reports whether a view number is that of the view in force.
 func (r *Replica) isCurrent(number uint64) bool {
 	return r.state.View != nil && number == r.state.View.GetNumber()
 }
--- a/internal/region/quorum/acceptor.go
+++ b/internal/region/quorum/acceptor.go
@@ -4,13 +4,13 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Acceptor is the Paxos acceptor of one voter for one view number: that of the view after the one that the voter
-// knows. The promised number never decreases, and the acceptor accepts no proposal with a lower number.
+// Acceptor is the Paxos acceptor of one voter for one view number, which follows that of the newest view known to the
+// voter. The promised number never decreases, and the acceptor accepts no proposal with a lower number.
 type Acceptor struct {
-	viewNumber     uint64 // of the view to be decided
-	promised       *pb.Ballot
-	acceptedNumber *pb.Ballot
-	acceptedValue  *pb.View
+	viewNumber     uint64     // number of the view to be decided
+	promised       *pb.Ballot // highest promised proposal number; nil: none was promised
+	acceptedNumber *pb.Ballot // proposal number of the accepted value
+	acceptedValue  *pb.View   // newest accepted value; nil: none was accepted
 }
 
 // NewAcceptor returns an acceptor for a view number that has promised and accepted nothing.
--- a/internal/region/quorum/admission.go
+++ b/internal/region/quorum/admission.go
@@ -9,7 +9,7 @@
 )
 
 // eligibleJoiners returns the machines that may become voters, sorted by identity, so that all voters choose the same
-// one.
+// machine.
 func eligibleJoiners(voters []*pb.Replica, peers map[string]Peer) []*pb.Replica {
 	var joiners []*pb.Replica
 	for identity, peer := range peers {
@@ -46,7 +46,7 @@
 		return voters, true
 	}
 	if !allInContact(voters, peers) {
-		return voters, false // the joiners wait: one may have to replace the voter that is out of contact
+		return voters, false // the joiners wait: one of them may have to replace the voter that is out of contact
 	}
 	joiner := joinerOfSmallestZone(joiners, voters)
 	if mayGrow(voters, peers, joiners) {
@@ -60,7 +60,7 @@
 }
 
 // replaceEarlierIdentity replaces a voter, in place, by a joiner on the same host: a machine that lost its disk gets a
-// new identity. Of two identities on one host, the one that was in contact last is the new one.
+// new identity. Of two identities on one host, the identity that was in contact last is the new one.
 func replaceEarlierIdentity(voters, joiners []*pb.Replica, peers map[string]Peer) bool {
 	for _, joiner := range joiners {
 		sinceContact := peers[joiner.GetIdentity()].SinceContact
@@ -115,7 +115,7 @@
 	return established > 1 || (established == 1 && len(voters)%2 == 0)
 }
 
-// joinerOfSmallestZone returns the joiner whose zone has the fewest voters; among equals, the first.
+// joinerOfSmallestZone returns the joiner whose zone has the fewest voters; among several such joiners, the first.
 func joinerOfSmallestZone(joiners, voters []*pb.Replica) *pb.Replica {
 	return slices.MinFunc(joiners, func(a, b *pb.Replica) int {
 		return cmp.Compare(countInZone(a, voters), countInZone(b, voters))
@@ -151,8 +151,8 @@
 	return count
 }
 
-// chainPosition returns a voter's position in the chain. For a voter outside of the chain that is the length of the
-// chain, so it sorts after the tail.
+// chainPosition returns a voter's position in the chain. For a voter outside of the chain, the result is the length
+// of the chain, so the voter sorts after the tail.
 func chainPosition(view *pb.View, voter *pb.Replica) int {
 	if position := IndexOf(view.GetChain(), voter.GetIdentity()); position != NotFound {
 		return position
--- a/internal/region/quorum/membership.go
+++ b/internal/region/quorum/membership.go
@@ -10,14 +10,14 @@
 // Timeouts and limits for changes of the set of voters.
 const (
 	// ReplacementTimeout is the time without contact after which a joiner replaces a voter. It is short, because until
-	// the replacement the failure of another voter could leave no majority. A voter that was only partitioned can join
-	// again. A machine is removed from the chain after the same time, so that one view change does both.
+	// the replacement the failure of another voter could leave no majority. A voter that was only partitioned can
+	// rejoin. A machine is removed from the chain after the same time, so that one view change does both.
 	ReplacementTimeout = 1200 * time.Millisecond
 	// GrowthDelay is how long joiners must have been in contact before one of them becomes an additional voter. It is
 	// longer than ReplacementTimeout: a voter that had failed when the joiners arrived has been replaced by then.
 	GrowthDelay = 2 * time.Second
-	// EvenRemovalTimeout is the time without contact after which a voter is removed from an even number of
-	// voters: a majority of the others needs one vote less.
+	// EvenRemovalTimeout is the time without contact after which a voter is removed from an even number of voters: a
+	// majority of the remaining voters needs one vote less.
 	EvenRemovalTimeout = ReplacementTimeout
 	// SuspicionTimeout is the time without contact with a voter after which no voter is added: the joiners wait, since
 	// one of them may have to replace that voter.
@@ -32,8 +32,8 @@
 
 // Peer is what a voter knows about another control machine, or about itself.
 type Peer struct {
-	Replica         *pb.Replica
-	SinceContact    time.Duration // time since the last message
+	Replica         *pb.Replica   // the machine
+	SinceContact    time.Duration // time since the last message of the machine
 	ContactDuration time.Duration // time for which messages have been received without a gap
 	Live            bool          // not suspected to have failed
 	// KnowsView is set if the machine advertises the view in force or the one before it, which shows that it also
@@ -45,8 +45,9 @@
 	Left bool
 }
 
-// NextVoters returns the voters that the view after this one should have, and whether they differ from the present
-// ones. At most one voter is added, replaced or removed. The keys of peers are identities. The view is not modified.
+// NextVoters returns the voters that the view after the given view should have, and whether they differ from the
+// present voters. At most one voter is added, replaced or removed. The keys of peers are identities. The view is not
+// modified.
 func NextVoters(view *pb.View, peers map[string]Peer) ([]*pb.Replica, bool) {
 	voters := slices.Clone(view.GetVoters())
 	if joiners := eligibleJoiners(voters, peers); len(joiners) > 0 {
@@ -68,7 +69,7 @@
 }
 
 // longestSuspected returns the index of the suspected voter with the longest time since contact, and that time; or
-// NotFound and 0 if all are live.
+// NotFound and 0 if all voters are live.
 func longestSuspected(voters []*pb.Replica, peers map[string]Peer) (int, time.Duration) {
 	found := NotFound
 	var longest time.Duration
--- a/internal/region/quorum/proposal_number.go
+++ b/internal/region/quorum/proposal_number.go
@@ -16,9 +16,9 @@
 	return strings.Compare(a.GetProposer(), b.GetProposer())
 }
 
-// NextProposalNumber returns a proposal number of the proposer above the highest number that it has seen, which may be
-// nil. The proposer's name must differ between runs of a machine: a restarted machine does not remember the numbers
-// that it has used, and proposing two values under one number would break the safety of Paxos.
+// NextProposalNumber returns a proposal number of the proposer above the highest number that the proposer has seen,
+// which may be nil. The proposer's name must differ between runs of a machine: a restarted machine does not remember
+// the numbers that it has used, and proposing two values under one number would break the safety of Paxos.
 func NextProposalNumber(highest *pb.Ballot, proposer string) *pb.Ballot {
 	return &pb.Ballot{Round: highest.GetRound() + 1, Proposer: proposer}
 }
--- a/internal/region/quorum/proposer.go
+++ b/internal/region/quorum/proposer.go
@@ -15,19 +15,20 @@
 	Superseded              // a voter has promised a higher number to another proposer
 )
 
-// Proposer runs one proposal for the view after base. The answers of each voter of base are counted once.
+// Proposer runs one proposal for the view after the base view. The answers of each voter of the base view are counted
+// once.
 type Proposer struct {
-	base     *pb.View
-	number   *pb.Ballot
+	base     *pb.View   // view whose voters decide
+	number   *pb.Ballot // proposal number
 	phase    Phase
-	promises map[int]bool // by index among the voters of base
-	accepts  map[int]bool // by index among the voters of base
-	value    *pb.View     // nil while Preparing
+	promises map[int]bool // voters that have promised, by index in base
+	accepts  map[int]bool // voters that have accepted, by index in base
+	value    *pb.View     // proposed value; nil while Preparing
 	// earlierValue is the accepted value with the highest proposal number among those that the promises reported, and
 	// earlierNumber is that number. The value may have been decided already, so no other value may be proposed.
 	earlierNumber   *pb.Ballot
 	earlierValue    *pb.View
-	highestObserved *pb.Ballot // the highest number in any answer
+	highestObserved *pb.Ballot // highest proposal number in any answer
 }
 
 // NewProposer starts a proposal. The number must not have been used before, see NextProposalNumber.
@@ -91,7 +92,7 @@
 // proposed again, or nil if any value may be proposed.
 func (p *Proposer) AcceptedEarlier() *pb.View { return p.earlierValue }
 
-// Choose starts the second phase with the value of AcceptedEarlier if there is one, and with the wanted value otherwise.
+// Choose starts the second phase with the value of AcceptedEarlier if there is one, otherwise with the wanted value.
 func (p *Proposer) Choose(wanted *pb.View) {
 	p.value = wanted
 	if p.earlierValue != nil {
@@ -126,7 +127,7 @@
 }
 
 // grantingVoter returns the index in base of a voter that grants the given phase of this proposal. It returns NotFound
-// for a rejection, for an answer to another proposal or phase, and for a sender that is not a voter.
+// for a rejection, for an answer to another proposal or phase, and for a sender that is not a voter of base.
 func (p *Proposer) grantingVoter(phase Phase, from *pb.Replica, received answer) int {
 	if !p.isAwaited(phase, received) {
 		return NotFound
--- a/internal/region/quorum/removal.go
+++ b/internal/region/quorum/removal.go
@@ -48,9 +48,9 @@
 	})
 }
 
-// mayRemoveLeft reports whether a voter that has left may be removed. From an even number of voters it may, if a
-// majority of the others stays: that majority then needs one vote less. Removing it from an odd number does not lower
-// the majority, and the voter may return.
+// mayRemoveLeft reports whether a voter that has left may be removed. It may be removed from an even
+// number of voters if a majority of the other voters stays: that majority then needs one vote less. It is not removed
+// from an odd number of voters, since the removal does not lower the majority, and the voter may return.
 func mayRemoveLeft(voters []*pb.Replica, peers map[string]Peer) bool {
 	others := len(voters) - 1
 	if len(voters)%2 != 0 {
--- a/internal/region/quorum/view.go
+++ b/internal/region/quorum/view.go
@@ -23,7 +23,7 @@
 
 // VoterIndex returns the index of a replica among the voters of a view, or NotFound. In view 0 a voter is identified by
 // the address of its operator API. In later views it is identified by its identity: a machine that lost its disk has
-// lost its promises too, and must not count as the voter that it was before.
+// lost its promises too, and must not count as the voter of its earlier identity.
 func VoterIndex(view *pb.View, replica *pb.Replica) int {
 	if view.GetNumber() > 0 {
 		return IndexOf(view.GetVoters(), replica.GetIdentity())
@@ -40,5 +40,6 @@
 	})
 }
 
-// Majority returns the smallest number of voters that is more than half of a view's. Any two majorities share a voter.
+// Majority returns the smallest number of voters that is more than half of the voters of a view. Any two majorities
+// share a voter.
 func Majority(view *pb.View) int { return len(view.GetVoters())/2 + 1 }
