--- a/internal/region/catalog/amend.go
+++ b/internal/region/catalog/amend.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// amendSetting replaces a member as a whole. If it was a collection, its items are removed.
+// amendSetting replaces a member as a whole. If the member was a collection, its items are removed.
 func (w *changeWriter) amendSetting(setting section) {
 	w.upsert(KindSetting, setting.name, w.settingOrder(setting.name), setting.body)
 	if isCollection(setting.name) {
@@ -72,7 +72,8 @@
 	w.upsert(KindSetting, kind, w.settingOrder(kind), emptyList)
 }
 
-// settingOrder returns the sort key of a member: its present one, or for a new member one after all others.
+// settingOrder returns the sort key of a member: the present sort key, or for a new member a sort key after those of
+// all other members.
 func (w *changeWriter) settingOrder(name string) uint64 {
 	if old, found := w.snapshot.Get(KindSetting, name); found {
 		return old.GetOrder()
--- a/internal/region/catalog/catalog.go
+++ b/internal/region/catalog/catalog.go
@@ -2,8 +2,8 @@
 // orders of operators into changes of that state.
 //
 // A Snapshot is a set of items, each with a kind, a name that is unique in its kind, an order among the items of its
-// kind, the sequence number of the change that wrote it and a JSON body. Changes, numbered without gaps, turn one
-// snapshot into the next. The items are partitioned into RangeCount ranges by hash of kind and name; a range that a
+// kind, the sequence number of the change that wrote the item, and a JSON body. Changes, numbered without gaps, turn
+// one snapshot into the next. The items are partitioned into RangeCount ranges by hash of kind and name; a range that a
 // change does not touch is shared between the two snapshots. A replica that has missed changes is repaired: it sends
 // the digests of its ranges and receives the ranges that differ (anti-entropy, Demers et al., "Epidemic Algorithms for
 // Replicated Database Maintenance", 1987).
@@ -17,7 +17,7 @@
 // agents and proxies do not. As on the wire, "order" has two meanings: a request of an operator, and the field of an
 // item that is its sort key among the items of its kind.
 //
-// The package does not replicate state, see package chain, and does not store it, see package ring.
+// The package neither replicates state (see package chain) nor stores it (see package ring).
 // docs/design/regional.md describes the design. Items, changes and repairs that are passed to or returned by this
 // package are shared between snapshots and must not be modified. Everything except History is safe for concurrent use.
 package catalog
--- a/internal/region/catalog/change_writer.go
+++ b/internal/region/catalog/change_writer.go
@@ -8,12 +8,12 @@
 
 // changeWriter builds the change from a snapshot to the configuration that an order requests.
 type changeWriter struct {
-	snapshot  *Snapshot
-	change    *pb.Change
-	submitted submittedRoutes
+	snapshot  *Snapshot       // state before the change
+	change    *pb.Change      // change as written so far
+	submitted submittedRoutes // routes that the order submits
 }
 
-// newChangeWriter starts a change from a snapshot to a generation.
+// newChangeWriter returns a writer of the change from a snapshot to the configuration with a generation.
 func newChangeWriter(snapshot *Snapshot, generation uint64) *changeWriter {
 	return &changeWriter{
 		snapshot: snapshot,
@@ -36,7 +36,7 @@
 	return w.change, nil
 }
 
-// upsert writes an item, unless the snapshot has an equal one. The body is copied, so that an item does not keep the
+// upsert writes an item, unless the snapshot has an equal item. The body is copied, so that an item does not keep the
 // body of the whole order in memory.
 func (w *changeWriter) upsert(kind, name string, order uint64, body []byte) {
 	old, found := w.snapshot.Get(kind, name)
@@ -97,8 +97,8 @@
 	}
 }
 
-// orderGap is the distance between the sort keys of appended items. Items can later be inserted between them without new
-// sort keys for all that follow.
+// orderGap is the distance between the sort keys of appended items. Items can later be inserted between them without
+// new sort keys for all items that follow.
 const orderGap = 1 << 16
 
 // assignOrders assigns ascending sort keys to the entries of a list. It keeps the present keys where they ascend, so
@@ -122,7 +122,7 @@
 	return orders
 }
 
-// nextOrder returns the sort key after another one, with a gap in between for appended items.
+// nextOrder returns the sort key after another sort key, with a gap in between for appended items.
 func nextOrder(previous uint64, isAppended bool) uint64 {
 	if isAppended {
 		return previous + orderGap
--- a/internal/region/catalog/document.go
+++ b/internal/region/catalog/document.go
@@ -29,7 +29,7 @@
 // section is one member of a configuration.
 type section struct {
 	name       string
-	collection bool
+	collection bool    // the member is a list of named objects
 	entries    []entry // elements of a collection
 	body       []byte  // value of a setting
 }
@@ -97,8 +97,8 @@
 	return section{name: name, collection: true, entries: entries}
 }
 
-// parseNamedEntries parses a list of objects with distinct names. The error says why the array is not such a list; its
-// text is part of the response to the operator.
+// parseNamedEntries parses a list of objects with distinct names. The error says why the array is not such a list; the
+// text of the error is part of the response to the operator.
 func parseNamedEntries(array []byte) ([]entry, error) {
 	var entries []entry
 	seen := make(map[string]bool)
@@ -147,7 +147,7 @@
 	return removals
 }
 
-// parseNames parses a list of strings. It returns false if the value is not one.
+// parseNames parses a list of strings. It returns false if the value is not a list of strings.
 func parseNames(value []byte) ([]string, bool) {
 	if !jsonwalk.IsArray(value) {
 		return nil, false
--- a/internal/region/catalog/editor.go
+++ b/internal/region/catalog/editor.go
@@ -4,10 +4,11 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// editor builds the next snapshot. It clones a range before it first modifies it.
+// editor builds the next snapshot. It clones each range of the base snapshot before the first modification of the
+// range.
 type editor struct {
 	next   Snapshot
-	cloned [RangeCount]bool
+	cloned [RangeCount]bool // ranges that are not shared with the base snapshot
 }
 
 // newEditor returns an editor that starts with the content of a snapshot.
@@ -38,7 +39,7 @@
 	}
 }
 
-// snapshot returns the result. The editor must not be used afterwards.
+// snapshot returns the next snapshot. The editor must not be used afterwards.
 func (e *editor) snapshot(sequence, generation uint64) *Snapshot {
 	e.next.sequence = sequence
 	e.next.generation = generation
--- a/internal/region/catalog/errors.go
+++ b/internal/region/catalog/errors.go
@@ -16,8 +16,8 @@
 
 // Fault is one reason why a configuration is invalid.
 type Fault struct {
-	Item   string // for example "routes/r-1"; empty for the configuration as a whole
-	Field  string // the invalid member, for example "deadline-ms"; may be empty
+	Item   string // kind and name of the invalid item, for example "routes/r-1"; empty for the configuration as a whole
+	Field  string // invalid member of the item, for example "deadline-ms"; may be empty
 	Reason string
 }
 
@@ -32,7 +32,7 @@
 
 // InvalidError rejects an order that cannot be parsed or violates a rule of the operator API.
 type InvalidError struct {
-	Faults  []Fault // the first faults, up to MaxFaults
+	Faults  []Fault // first faults, up to MaxFaults
 	Omitted int     // number of further faults
 }
 
@@ -54,7 +54,7 @@
 // Status returns 400.
 func (e *InvalidError) Status() int { return http.StatusBadRequest }
 
-// add adds a fault, or counts it if there are MaxFaults already.
+// add adds a fault, or only counts the fault if there are MaxFaults already.
 func (e *InvalidError) add(item, field, format string, arguments ...any) {
 	if len(e.Faults) >= MaxFaults {
 		e.Omitted++
@@ -78,7 +78,7 @@
 	return result
 }
 
-// ConflictError rejects an order that builds on another generation than the current one and is no retry of the order
+// ConflictError rejects an order that builds on a generation other than the current one and is not a retry of the order
 // that was executed on that generation.
 type ConflictError struct {
 	Base    uint64 // generation that the order builds on
--- a/internal/region/catalog/executed_orders.go
+++ b/internal/region/catalog/executed_orders.go
@@ -9,9 +9,9 @@
 )
 
 // The executed orders on the configuration are recorded, so that a retry of an order is acknowledged and not executed
-// twice, even if other changes were made since. This is the at-most-once semantics of remote procedure calls (Birrell
-// and Nelson, "Implementing Remote Procedure Calls", 1984). The record is part of the replicated state of the control
-// machines, but not of the state that agents and proxies receive.
+// twice, even if other changes were made after the order. This is the at-most-once semantics of remote procedure calls
+// (Birrell and Nelson, "Implementing Remote Procedure Calls", 1984). The record is part of the replicated state of the
+// control machines, but not of the state that agents and proxies receive.
 //
 // Each order builds on the generation that the previous order put in force, so the record is a sequence without gaps:
 // the order that was executed on a generation is the successor of the order that put the generation in force.
@@ -35,25 +35,25 @@
 
 // executedOrder is the record of one order.
 type executedOrder struct {
-	generation uint64 // generation that the order put in force
-	digest     orderDigest
+	generation uint64      // generation that the order put in force
+	digest     orderDigest // digest by which a retry of the order is recognized
 }
 
-// orderChunk is a full chunk of the record. Snapshots share it, so it is never modified.
+// orderChunk is a full chunk of the record. Snapshots share chunks, so a chunk is never modified.
 type orderChunk struct {
 	orders [chunkOrders]executedOrder
-	digest uint64
+	digest uint64 // digest of the chunk, see digestOrders
 }
 
 // executedOrders is the record of the executed orders, oldest first. It is an immutable value: a later record shares
-// the full chunks of an earlier one. Chunks are numbered and keep their numbers when older chunks are discarded, so that
-// replicas can compare them. The newest generation of the record is that of its snapshot. The zero value is the record
-// before the first order.
+// the full chunks of an earlier one. Chunks are numbered and keep their numbers when older chunks are discarded, so
+// that replicas can compare them. The newest generation of the record is that of its snapshot. The zero value is the
+// record before the first order.
 type executedOrders struct {
-	baseGeneration uint64 // generation that the oldest order builds on
-	firstChunk     uint64 // number of the oldest chunk
-	full           []*orderChunk
-	partial        []executedOrder // the newest orders, fewer than a chunk holds
+	baseGeneration uint64          // generation that the oldest order builds on
+	firstChunk     uint64          // number of the oldest chunk
+	full           []*orderChunk   // full chunks, the oldest first
+	partial        []executedOrder // newest orders, fewer than chunkOrders
 }
 
 // len returns the number of orders.
@@ -76,7 +76,7 @@
 	return e.baseGeneration
 }
 
-// covers reports whether an order that was executed on a generation would still be in the record.
+// covers reports whether the record reaches back to the order, if any, that was executed on a generation.
 func (e *executedOrders) covers(generation uint64) bool { return generation >= e.baseGeneration }
 
 // executedOn returns the order that was executed on a generation. There is none if the generation was never in force,
--- a/internal/region/catalog/executed_orders_repair.go
+++ b/internal/region/catalog/executed_orders_repair.go
@@ -18,13 +18,13 @@
 	return &pb.ExecutedOrderDigests{First: e.firstChunk, Chunks: digests}
 }
 
-// repairFor returns the repair that turns the record described by the digests into this one. It contains all chunks from
-// the first that differs, or all chunks if there are no digests.
+// repairFor returns the repair that turns the record described by the digests into this one. It contains all chunks
+// from the first that differs, or all chunks if there are no digests.
 func (e *executedOrders) repairFor(theirs *pb.ExecutedOrderDigests) *pb.ExecutedOrders {
 	own := e.digests().GetChunks()
 	shared := 0
 	for shared < len(own) {
-		position := e.firstChunk + uint64(shared) - theirs.GetFirst() // underflows beyond the end if theirs begins later
+		position := e.firstChunk + uint64(shared) - theirs.GetFirst() // underflows beyond the end if the other record begins later
 		if position >= uint64(len(theirs.GetChunks())) || theirs.GetChunks()[position] != own[shared] {
 			break
 		}
@@ -51,8 +51,8 @@
 	return appendOrders(buffer, e.partial)
 }
 
-// restore returns the record that results from a repair of the state to a generation. If the repair has no record, as in
-// the replicas of agents, the result covers nothing before the generation. The error is a *RepairError.
+// restore returns the record that results from a repair of the state to a generation. If the repair has no record, as
+// in the replicas of agents, the result covers nothing before the generation. The error is a *RepairError.
 func (e *executedOrders) restore(repair *pb.ExecutedOrders, generation uint64) (executedOrders, error) {
 	if repair == nil {
 		return executedOrders{baseGeneration: generation}, nil
--- a/internal/region/catalog/history.go
+++ b/internal/region/catalog/history.go
@@ -15,7 +15,7 @@
 // History retains the last changes, for replicas that are a few changes behind. It is not safe for concurrent use. The
 // zero value is a history that ends at sequence 0.
 type History struct {
-	changes []*pb.Change // consecutive, the newest last
+	changes []*pb.Change // consecutive changes, the newest last
 	sizes   []int        // encoded size of each change, in bytes
 	bytes   int          // encoded size of all changes
 	last    uint64       // sequence at which the history ends
@@ -49,9 +49,9 @@
 	h.sizes = h.sizes[1:]
 }
 
-// Since returns the changes after a sequence, oldest first, and whether the history reaches back that far. It returns no
-// changes and true for the sequence at which the history ends, and false for a later sequence. The caller owns the
-// slice.
+// Since returns the changes after a sequence, oldest first, and whether the history reaches back to that sequence. It
+// returns no changes and true for the sequence at which the history ends, and false for a later sequence. The caller
+// owns the slice.
 func (h *History) Since(sequence uint64) ([]*pb.Change, bool) {
 	if sequence > h.last || h.last-sequence > uint64(len(h.changes)) {
 		return nil, false
--- a/internal/region/catalog/legacy_orders.go
+++ b/internal/region/catalog/legacy_orders.go
@@ -8,12 +8,12 @@
 )
 
 // Earlier versions recorded the last executed orders as items. The name of such an item was the SHA-256 of the order in
-// hex, its body the generation, and its sort key the sequence of the change.
+// hex, its body the generation that the order put in force, and its sort key the sequence of the change.
 
 const (
-	// legacyOrderKind is the kind of these items.
+	// legacyOrderKind is the kind of the items that recorded executed orders.
 	legacyOrderKind = "taken"
-	// legacyOrderLimit is the number of these items that were retained.
+	// legacyOrderLimit is the number of items of legacyOrderKind that were retained.
 	legacyOrderLimit = 64
 )
 
@@ -36,7 +36,8 @@
 
 // ordersFromItems returns the record of the orders in items, which must be sorted with the oldest first. If the items
 // are not a complete sequence up to the generation in force, the result is an empty record that covers nothing before
-// that generation. The generation on which the oldest order builds is only known if no item was discarded before it.
+// that generation. The generation on which the oldest order builds is only known if no item of an earlier
+// order was discarded.
 func ordersFromItems(items []*pb.Item, generation uint64) executedOrders {
 	unknown := executedOrders{baseGeneration: generation}
 	var record executedOrders
--- a/internal/region/catalog/order.go
+++ b/internal/region/catalog/order.go
@@ -8,9 +8,9 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// PrepareReplace validates an order that puts a whole configuration in force and returns the change that the order makes
-// to the snapshot. base is the generation that the order builds on, 0 for the first order. The change lists only the
-// items that differ. The error is an OrderError: *AlreadyExecutedError, *ExecutionUnknownError, *ConflictError or
+// PrepareReplace validates an order that puts a whole configuration in force and returns the change that the order
+// makes to the snapshot. base is the generation that the order builds on, 0 for the first order. The change lists only
+// the items that differ. The error is an OrderError: *AlreadyExecutedError, *ExecutionUnknownError, *ConflictError or
 // *InvalidError.
 func PrepareReplace(snapshot *Snapshot, base uint64, body []byte) (*pb.Change, error) {
 	return prepare(snapshot, orderReplace, base, body)
@@ -23,9 +23,9 @@
 	return prepare(snapshot, orderAmend, base, body)
 }
 
-// PrepareEvacuation returns the change that begins or ends the evacuation of a zone, or nil if the snapshot is in that
-// state already. It does not check whether the zone exists. The error is an *InvalidError if the name of the zone is
-// empty or not UTF-8.
+// PrepareEvacuation returns the change that begins or ends the evacuation of a zone, or nil if the change would have no
+// effect on the snapshot. It does not check whether the zone exists. The error is an *InvalidError if the name of the
+// zone is empty or not UTF-8.
 func PrepareEvacuation(snapshot *Snapshot, zone string, begin bool) (*pb.Change, error) {
 	if zone == "" || !utf8.ValidString(zone) {
 		return nil, invalid("", "zone", "is not a name")
@@ -78,7 +78,7 @@
 	return writer.finish(digestOrder(kind, base, body))
 }
 
-// answerStale returns the response to an order on another generation than the current one. The order is a retry if the
+// answerStale returns the response to an order on a generation other than the current one. The order is a retry if the
 // same order was executed on that generation. It can never be executed if another order was executed on that
 // generation, or if that generation was never in force.
 func (s *Snapshot) answerStale(kind orderKind, base uint64, body []byte) error {
@@ -95,7 +95,7 @@
 func digestOrder(kind orderKind, base uint64, body []byte) orderDigest {
 	digest := sha256.New()
 	digest.Write([]byte(kind))
-	var number [9]byte // a 0 that terminates the kind, then the generation
+	var number [9]byte // a zero byte that terminates the kind, then the generation
 	binary.BigEndian.PutUint64(number[1:], base)
 	digest.Write(number[:])
 	digest.Write(body)
--- a/internal/region/catalog/range.go
+++ b/internal/region/catalog/range.go
@@ -14,7 +14,7 @@
 // modified once it belongs to a snapshot.
 type itemRange struct {
 	items  []*pb.Item
-	digest uint64 // XOR of the items' digests
+	digest uint64 // XOR of the digests of all items in the range
 }
 
 // rangeIndex returns the index of the range of an item. The mapping is part of the protocol between replicas.
@@ -52,7 +52,7 @@
 	return cmp.Compare(item.GetName(), name)
 }
 
-// find returns the index of an item, or the index at which it would be inserted and false.
+// find returns the index of an item and true, or the index at which the item would be inserted and false.
 func (r *itemRange) find(kind, name string) (int, bool) {
 	return slices.BinarySearchFunc(r.items, name, func(item *pb.Item, name string) int {
 		return compareKey(item, kind, name)
--- a/internal/region/catalog/repair.go
+++ b/internal/region/catalog/repair.go
@@ -26,16 +26,16 @@
 	return digests
 }
 
-// ReplicaRepairFor returns the result of RepairFor for a control machine, including the executed orders that the machine
-// lacks. The digests are the machine's ReplicaDigests; for nil digests it returns the whole state.
+// ReplicaRepairFor returns the result of RepairFor for a control machine, including the executed orders that the
+// machine lacks. The digests are the machine's ReplicaDigests; for nil digests it returns the whole state.
 func (s *Snapshot) ReplicaRepairFor(digests *pb.RangeDigests) *pb.Repair {
 	repair := s.RepairFor(digests)
 	repair.ExecutedOrders = s.executed.repairFor(digests.GetExecutedOrders())
 	return repair
 }
 
-// RepairFor returns the ranges in which the state that the digests describe differs from this snapshot, or all of
-// them if digests is nil or has another number of ranges. Either of the two states may be the newer one.
+// RepairFor returns the ranges in which the state that the digests describe differs from this snapshot, or all ranges
+// if digests is nil or has another number of ranges. Either of the two states may be the newer one.
 func (s *Snapshot) RepairFor(digests *pb.RangeDigests) *pb.Repair {
 	repair := &pb.Repair{Sequence: s.sequence, Generation: s.generation}
 	theirs := digests.GetDigests()
--- a/internal/region/catalog/snapshot.go
+++ b/internal/region/catalog/snapshot.go
@@ -11,10 +11,10 @@
 
 // Snapshot is the control state after a change. It is immutable. The zero value is not usable, see Empty.
 type Snapshot struct {
-	sequence   uint64
-	generation uint64
-	ranges     [RangeCount]*itemRange
-	executed   executedOrders
+	sequence   uint64                 // number of the last change
+	generation uint64                 // generation of the configuration in force
+	ranges     [RangeCount]*itemRange // items, partitioned by rangeIndex
+	executed   executedOrders         // record of the executed orders
 }
 
 var emptySnapshot = newEmptySnapshot()
@@ -42,7 +42,7 @@
 // Generation returns the operator's number of the configuration in force, or 0 before the first configuration.
 func (s *Snapshot) Generation() uint64 { return s.generation }
 
-// Get returns an item by kind and name.
+// Get returns the item with a kind and a name.
 func (s *Snapshot) Get(kind, name string) (*pb.Item, bool) {
 	return s.ranges[rangeIndex(kind, name)].get(kind, name)
 }
@@ -105,7 +105,8 @@
 	return zones
 }
 
-// ExecutedOrders returns the number of executed orders in the record and the generation that the oldest one builds on.
+// ExecutedOrders returns the number of executed orders in the record and the generation that the oldest of these orders
+// builds on.
 // Whether an order on an earlier generation was executed is unknown. Only control machines record executed orders.
 func (s *Snapshot) ExecutedOrders() (count int, since uint64) {
 	return s.executed.len(), s.executed.baseGeneration
--- a/internal/region/catalog/validate.go
+++ b/internal/region/catalog/validate.go
@@ -36,8 +36,8 @@
 
 // submittedRoutes is the set of the routes that an order submits.
 type submittedRoutes struct {
-	all   bool // the order is a whole configuration
-	names map[string]bool
+	all   bool            // the order is a whole configuration and so submits all routes
+	names map[string]bool // names of the submitted routes of an amendment
 }
 
 // add adds the routes of an amendment.
@@ -55,9 +55,9 @@
 // routeChecker checks the routes of the next configuration, one after another.
 type routeChecker struct {
 	submitted submittedRoutes
-	services  map[string]bool // of the next configuration
-	current   *Snapshot
-	routeOf   map[configitem.Match]string // name of the route with this match
+	services  map[string]bool             // names of the services of the next configuration
+	current   *Snapshot                   // state before the order
+	routeOf   map[configitem.Match]string // name of the route with each match
 	faults    *InvalidError
 }
 
