--- a/internal/region/agent/process.go
+++ b/internal/region/agent/process.go
@@ -96,7 +96,7 @@
 	p.caller.wait()
 	p.core.logCounters(p.now())
 	p.logger.Info("agent stopped", zap.Error(err))
-	return errors.CombineErrors(err, errors.Wrap(closeErr, "close the service to other agents"))
+	return errors.CombineErrors(err, errors.Wrap(closeErr, "close the server for other agents"))
 }
 
 // loop runs in the goroutine that owns the core. It returns when the core has finished, or with an error when the
@@ -119,7 +119,7 @@
 			shutdown = nil // shutdownRequested is passed to the core only once
 			received = shutdownRequested{}
 		case err := <-served:
-			return errors.Wrap(err, "serve the other agents")
+			return errors.Wrap(err, "serve calls of other agents")
 		}
 		p.step(received)
 		now := p.now()
--- a/internal/region/chain/replica.go
+++ b/internal/region/chain/replica.go
@@ -37,7 +37,7 @@
 	self        string     // identity of this replica
 	state       State      // state after all writes of the outputs so far, on disk or not
 	unpersisted int        // number of outputs with writes that are not on disk yet
-	advertised  Advertised // what heartbeats may advertise; describes state on disk
+	advertised  Advertised // state that may be advertised; all of it is on disk
 
 	// The fields below are reset with each view.
 	synchronized     bool              // the replica holds the state of the view (see enterView and restoreState)
--- a/internal/region/control/compression.go
+++ b/internal/region/control/compression.go
@@ -20,7 +20,7 @@
 func newCompressor() connect.Compressor {
 	compressor, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	if err != nil {
-		panic(errors.Wrap(err, "control: compression level")) // cannot fail: the level is a constant of the library
+		panic(errors.Wrap(err, "control: create a gzip writer at level BestSpeed")) // cannot fail: the level is valid
 	}
 	return compressor
 }
--- a/internal/region/control/node.go
+++ b/internal/region/control/node.go
@@ -48,7 +48,7 @@
 	running   sync.WaitGroup // the loop and the writer
 
 	status       atomic.Pointer[Status]
-	coordination atomic.Pointer[CoordinationStatus] // nil before the first tick
+	coordination atomic.Pointer[CoordinationStatus] // status at the last tick; nil before the first tick
 	lastTickAt   atomic.Int64                       // time of the last tick that the loop handled, in nanoseconds since startedAt
 	left         chan bool                          // receives once, when the Machine has left: Left.Agreed
 
--- a/internal/region/control/record.go
+++ b/internal/region/control/record.go
@@ -138,7 +138,7 @@
 func decodeWrite(record ring.Record) (chain.Write, error) {
 	synchronizedView, size := binary.Uvarint(record.Payload)
 	if size <= 0 {
-		return chain.Write{}, errors.New("no synchronized view number at the start of the record")
+		return chain.Write{}, errors.New("the payload does not begin with the number of a synchronized view")
 	}
 	write := chain.Write{SynchronizedView: synchronizedView}
 	var message proto.Message
@@ -155,7 +155,7 @@
 	case recordSynchronizedView:
 		return write, nil
 	default:
-		return write, errors.New("unknown kind of record")
+		return write, errors.New("the record kind is unknown to this version")
 	}
 	return write, proto.Unmarshal(record.Payload[size:], message)
 }
