--- a/internal/region/agent/control_endpoints.go
+++ b/internal/region/agent/control_endpoints.go
@@ -66,7 +66,7 @@
 }
 
 // chooseExcept returns one of the nearest control machines that have not failed recently and are not excluded, at
-// random among equally near ones. If all of them have failed recently, chooseExcept returns the machine whose last
+// random among equally near machines. If all of them have failed recently, chooseExcept returns the machine whose last
 // failure is oldest; if all machines are excluded, it returns the empty string.
 func (e *controlEndpoints) chooseExcept(now time.Duration, excluded []string) string {
 	chosen := e.pick(func(address string) bool {
--- a/internal/region/catalog/executed_orders_repair.go
+++ b/internal/region/catalog/executed_orders_repair.go
@@ -18,7 +18,7 @@
 	return &pb.ExecutedOrderDigests{First: e.firstChunk, Chunks: digests}
 }
 
-// repairFor returns the repair that turns the record described by the digests into this one. It contains all chunks
+// repairFor returns the repair that turns the record described by the digests into this record. It contains all chunks
 // from the first that differs, or all chunks if there are no digests.
 func (e *executedOrders) repairFor(theirs *pb.ExecutedOrderDigests) *pb.ExecutedOrders {
 	own := e.digests().GetChunks()
--- a/internal/region/catalog/range.go
+++ b/internal/region/catalog/range.go
@@ -44,7 +44,7 @@
 	return digest.Sum64()
 }
 
-// compareKey compares the kind and name of an item with the given ones.
+// compareKey compares the kind and name of an item with a given kind and name.
 func compareKey(item *pb.Item, kind, name string) int {
 	if order := cmp.Compare(item.GetKind(), kind); order != 0 {
 		return order
--- a/internal/region/chain/builder.go
+++ b/internal/region/chain/builder.go
@@ -14,7 +14,7 @@
 	required   Requirement          // redundancy that the chain needs
 	chain      []*pb.Replica        // members chosen so far, the head first
 	// diskFaulty holds the members whose disks reject writes. They stay at the end of the chain until the other members
-	// meet the requirement: the copies on their disks may be the only ones that survive the next failure.
+	// meet the requirement: the copies on their disks may be the only copies that survive the next failure.
 	diskFaulty []*pb.Replica
 }
 
--- a/internal/region/chain/commit.go
+++ b/internal/region/chain/commit.go
@@ -27,7 +27,7 @@
 	return output
 }
 
-// snapshotAt returns the newest snapshot or the one before it, whichever is at a sequence, or nil if neither is.
+// snapshotAt returns the newest or the previous snapshot, whichever has the given sequence, or nil if neither does.
 func (r *Replica) snapshotAt(sequence uint64) *catalog.Snapshot {
 	if r.state.Newest.Sequence() == sequence {
 		return r.state.Newest
--- a/internal/region/chain/sync_response.go
+++ b/internal/region/chain/sync_response.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// discardStaleRequests discards the early requests of views before the one in force.
+// discardStaleRequests discards the early requests of views before the view in force.
 func (r *Replica) discardStaleRequests() {
 	for identity, message := range r.earlyRequests {
 		if message.GetSyncRequest().GetViewNumber() < r.state.View.GetNumber() {
--- a/internal/region/control/actions.go
+++ b/internal/region/control/actions.go
@@ -39,8 +39,8 @@
 // Committed reports a newer committed state.
 type Committed struct {
 	Snapshot *catalog.Snapshot
-	// Changes lead from the state of the previous Committed action to this one; nil if the changes are not retained
-	// any more. In the first Committed action, Changes holds all the retained changes.
+	// Changes lead from the state of the previous Committed action to the state of this one; nil if the changes are not
+	// retained any more. In the first Committed action, Changes holds all the retained changes.
 	Changes []*pb.Change
 }
 
--- a/internal/region/control/diskqueue.go
+++ b/internal/region/control/diskqueue.go
@@ -54,7 +54,7 @@
 	d.enqueue(records, pendingWrite{forChain: forChain, replies: replies})
 }
 
-// enqueue requests a write of records, and adds the write to the pending ones.
+// enqueue requests a write of records, and adds the write to the pending writes.
 func (d *diskQueue) enqueue(records []ring.Record, write pendingWrite) {
 	d.lastToken++
 	write.token = d.lastToken
--- a/internal/region/control/events.go
+++ b/internal/region/control/events.go
@@ -47,8 +47,8 @@
 // BroadcastServerList requests that a server list be sent to the other control machines.
 type BroadcastServerList struct{ List *pb.ServerList }
 
-// SeedsChanged names other machines to contact when the known ones cannot be reached. It does not change which machines
-// bootstrap the cluster.
+// SeedsChanged names other machines to contact when the known machines cannot be reached. It does not change which
+// machines bootstrap the cluster.
 type SeedsChanged struct{ Seeds []string }
 
 // Leave begins a graceful shutdown: the machine continues to serve, for LeaveTimeout at most, until the other machines
--- a/internal/region/control/founding.go
+++ b/internal/region/control/founding.go
@@ -35,8 +35,8 @@
 	random      *rand.Rand
 }
 
-// founders returns the live machines that start for the first time, this one included, in the order of their hosts. If
-// a host has two identities, the list contains the identity whose message is the latest.
+// founders returns the live machines that start for the first time, including this machine, in the order of their
+// hosts. If a host has two identities, the list contains the identity whose message is the latest.
 func (f *founding) founders() []*pb.Replica {
 	latest := make(map[string]*peer)
 	for _, identity := range f.peers.identities() {
--- a/internal/region/control/headorders.go
+++ b/internal/region/control/headorders.go
@@ -65,7 +65,7 @@
 	h.output.sendView(from)
 }
 
-// enterView drops the orders of the previous view, and handles the early ones if this machine is the head now.
+// enterView drops the orders of the previous view, and handles the early orders if this machine is the head now.
 func (h *headOrders) enterView() {
 	early := h.early
 	h.queue = headQueue{}
--- a/internal/region/control/headqueue.go
+++ b/internal/region/control/headqueue.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxSmallOrderBytes is the body length up to which an order may overtake larger ones.
+	// maxSmallOrderBytes is the maximum body length of a small order, which may overtake larger orders.
 	maxSmallOrderBytes = 16 << 10
 	// maxOvertakes is the maximum number of consecutive orders that overtake an older order.
 	maxOvertakes = 4
--- a/internal/region/control/local.go
+++ b/internal/region/control/local.go
@@ -5,7 +5,7 @@
 	"fieldrelay/internal/region/chain"
 )
 
-// localMachine describes this machine to the others. It does not change while the process runs.
+// localMachine describes this machine to the other machines. It does not change while the process runs.
 type localMachine struct {
 	replica     *pb.Replica
 	incarnation uint64 // random number that differs between runs of the process
--- a/internal/region/control/machine.go
+++ b/internal/region/control/machine.go
@@ -14,7 +14,7 @@
 type Machine struct {
 	config Config
 
-	// Components that all others share.
+	// Components that all other components share.
 	clock  *clock
 	local  *localMachine
 	output *stepOutput
--- a/internal/region/control/node.go
+++ b/internal/region/control/node.go
@@ -121,8 +121,8 @@
 	return connect.NewResponse(&pb.DeliverResponse{}), nil
 }
 
-// SetSeeds names other machines to contact, by their operator API addresses, when the known ones cannot be reached. It
-// waits for room in the event queue until ctx ends.
+// SetSeeds names other machines to contact, by their operator API addresses, when the known machines cannot be reached.
+// It waits for room in the event queue until ctx ends.
 func (n *Node) SetSeeds(ctx context.Context, seeds []string) {
 	n.post(ctx, SeedsChanged{Seeds: seeds})
 }
--- a/internal/region/control/originorders.go
+++ b/internal/region/control/originorders.go
@@ -23,7 +23,7 @@
 
 	pending []*pendingOrder
 	// lastID starts at a random value in each run of the process, so that no result for an order of an earlier run
-	// matches an order of this one.
+	// matches an order of this run.
 	lastID uint64
 }
 
--- a/internal/region/control/peerclient.go
+++ b/internal/region/control/peerclient.go
@@ -33,9 +33,9 @@
 
 // deliver sends a request of size bytes.
 //
-// A failed compressed delivery is repeated uncompressed unless the machine is known to read compressed ones. An earlier
-// version rejects a compressed request before it has arrived completely, which may look like a broken connection. A
-// later version may thus receive messages twice, which the protocol tolerates.
+// A failed compressed delivery is repeated uncompressed unless the machine is known to read compressed deliveries. An
+// earlier version rejects a compressed request before it has arrived completely, which may look like a broken
+// connection. A later version may thus receive messages twice, which the protocol tolerates.
 func (c *peerClient) deliver(ctx context.Context, request *pb.DeliverRequest, size int) error {
 	if size < minCompressedBytes {
 		return call(ctx, c.plain, request)
--- a/internal/region/control/peersender.go
+++ b/internal/region/control/peersender.go
@@ -32,7 +32,7 @@
 )
 
 // peerSenders sends messages to other machines. Each traffic class of each machine has its own goroutine, so that a
-// machine that hangs does not delay messages to the others. The goroutines end with ctx; each also ends after
+// machine that hangs does not delay messages to other machines. The goroutines end with ctx; each also ends after
 // senderIdleTimeout without messages.
 type peerSenders struct {
 	ctx      context.Context // bounds the goroutines that send starts
--- a/internal/region/control/proposer.go
+++ b/internal/region/control/proposer.go
@@ -14,7 +14,7 @@
 // Timing of proposals.
 const (
 	// startupListenWindow is the time after its start in which a machine proposes nothing, because it may not have
-	// received heartbeats of the others yet.
+	// received heartbeats of other machines yet.
 	startupListenWindow = 600 * time.Millisecond
 	// proposerRankDelay is the additional delay of each voter, in the proposing order, before it proposes a view change
 	// that it wants.
--- a/internal/region/control/status.go
+++ b/internal/region/control/status.go
@@ -18,7 +18,7 @@
 	// voters within FailureTimeout.
 	Authoritative bool
 	AuthorityGap  AuthorityGap // reason why this machine is not authoritative; empty if it is
-	Live          []string     // hosts of the live voters, this one included, in the order of the view
+	Live          []string     // hosts of the live voters, including this machine, in the order of the view
 	Founded       bool         // a view is known
 }
 
--- a/internal/region/control/viewplan.go
+++ b/internal/region/control/viewplan.go
@@ -54,7 +54,7 @@
 	return wanted, viewChange{Change: change, Voters: changed}
 }
 
-// nextVoters returns the voters of the next view, and whether they differ from the present ones. The voters do not
+// nextVoters returns the voters of the next view, and whether they differ from the present voters. The voters do not
 // change until a majority of them holds the registers of their epoch, because the next voters collect the registers
 // from that majority.
 func (p *viewPlanner) nextVoters() ([]*pb.Replica, bool) {
--- a/internal/region/control/writequeue.go
+++ b/internal/region/control/writequeue.go
@@ -21,7 +21,7 @@
 
 func newWriteQueue() *writeQueue { return &writeQueue{ready: make(chan struct{}, 1)} }
 
-// put adds a write after the queued ones.
+// put adds a write after the queued writes.
 func (q *writeQueue) put(write Persist) {
 	q.mu.Lock()
 	if q.waiting {
--- a/internal/region/coordination/engine.go
+++ b/internal/region/coordination/engine.go
@@ -140,7 +140,7 @@
 	e.host.Send(target, &pb.Message{Body: &pb.Message_CoordinationCall{CoordinationCall: call}})
 }
 
-// Receive handles a message of another control machine or of this one. It returns false for a message that does not
+// Receive handles a message of another control machine or of this machine. It returns false for a message that does not
 // belong to the coordination service.
 func (e *Engine) Receive(now time.Duration, from *pb.Replica, message *pb.Message) bool {
 	e.now = now
--- a/internal/region/quorum/membership.go
+++ b/internal/region/quorum/membership.go
@@ -11,7 +11,7 @@
 const (
 	// ReplacementTimeout is the time without contact after which a joiner replaces a voter. It is short, because until
 	// the replacement the failure of another voter could leave no majority. A voter that was only partitioned can
-	// rejoin. A machine is removed from the chain after the same time, so that one view change does both.
+	// rejoin. A machine is removed from the chain after the same time, so that one view change makes both changes.
 	ReplacementTimeout = 1200 * time.Millisecond
 	// GrowthDelay is how long joiners must have been in contact before one of them becomes an additional voter. It is
 	// longer than ReplacementTimeout: a voter that had failed when the joiners arrived has been replaced by then.
@@ -36,7 +36,7 @@
 	SinceContact    time.Duration // time since the last message of the machine
 	ContactDuration time.Duration // time for which messages have been received without a gap
 	Live            bool          // not suspected to have failed
-	// KnowsView is set if the machine advertises the view in force or the one before it, which shows that it also
+	// KnowsView is set if the machine advertises the view in force or the view before it, which shows that it also
 	// receives messages from this machine.
 	KnowsView bool
 	// Leaving is set once the machine has announced its graceful shutdown.
--- a/internal/region/register/doc.go
+++ b/internal/region/register/doc.go
@@ -19,11 +19,11 @@
 //
 // An epoch is the period during which the set of voters stays the same. Its number is that of the view that introduced
 // the set. Messages of an earlier epoch are dropped: once a machine has learnt of an epoch, it accepts nothing in
-// earlier ones. A voter participates once it holds the registers of the epoch. It collects them either from a majority
-// of the previous voters that have learnt of the epoch, or from one voter that already participates. These registers
-// include everything that was chosen in the previous epoch, since the two majorities share a voter. Voters may be
-// replaced only while a majority of them participates (heartbeats carry Replica.ActiveEpoch), so that a majority of the
-// previous voters always holds the registers that the new voters request.
+// earlier epochs. A voter participates once it holds the registers of the epoch. It collects them either from a
+// majority of the previous voters that have learnt of the epoch, or from one voter that already participates. These
+// registers include everything that was chosen in the previous epoch, since the two majorities share a voter. Voters
+// may be replaced only while a majority of them participates (heartbeats carry Replica.ActiveEpoch), so that a majority
+// of the previous voters always holds the registers that the new voters request.
 //
 // A machine that has lost its disk returns under a new identity. It votes only after a later view has admitted that
 // identity and after it has collected the registers, so a replica that has lost its promises never votes.
--- a/internal/region/register/transfer.go
+++ b/internal/region/register/transfer.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// answerEarlyRequests answers the stored requests for the current epoch and drops those for earlier ones.
+// answerEarlyRequests answers the stored requests for the current epoch and drops those for earlier epochs.
 func (r *Replica) answerEarlyRequests() {
 	waiting := r.earlyRequests
 	r.earlyRequests = nil
@@ -134,8 +134,8 @@
 }
 
 // TransferRequested answers a voter that collects the registers of an epoch. It answers only if this machine has learnt
-// of that epoch and therefore accepts nothing in earlier ones. A previous voter that never participated sends an empty
-// answer, since it has accepted nothing.
+// of that epoch and therefore accepts nothing in earlier epochs. A previous voter that never participated sends an
+// empty answer, since it has accepted nothing.
 func (r *Replica) TransferRequested(from *pb.Replica, request *pb.RegisterTransferRequest) {
 	epoch := request.GetEpoch()
 	if epoch > r.membership.Epoch {
