--- a/internal/region/chain/commit.go
+++ b/internal/region/chain/commit.go
@@ -27,7 +27,7 @@
 	return output
 }
 
-// snapshotAt returns the newest snapshot or the one before it, whichever is at a sequence, or nil if neither is.
+// snapshotAt returns the newest or the previous snapshot, whichever has the given sequence, or nil if neither does.
 func (r *Replica) snapshotAt(sequence uint64) *catalog.Snapshot {
 	if r.state.Newest.Sequence() == sequence {
 		return r.state.Newest
@@ -70,7 +70,7 @@
 }
 
 // appendToLearners sends the learners the changes that were committed after a state. The message is not retried: a
-// learner that misses one detects that by the tail's heartbeats and requests a repair.
+// learner that misses a message detects the gap by the tail's heartbeats and requests a repair.
 func (r *Replica) appendToLearners(output *Output, before *catalog.Snapshot) {
 	changes, found := r.state.History.Since(before.Sequence())
 	if !found {
--- a/internal/region/control/compression.go
+++ b/internal/region/control/compression.go
@@ -11,15 +11,16 @@
 
 const (
 	gzipName = "gzip"
-	// minCompressedBytes is the size from which on a delivery is compressed. Configurations shrink to about a tenth.
+	// minCompressedBytes is the minimum size of a delivery that is compressed. Compression reduces a configuration to
+	// about a tenth of its size.
 	minCompressedBytes = 16 << 10
 )
 
-// newCompressor returns a compressor at the fastest level, which also uses little memory.
+// newCompressor returns a gzip compressor at the fastest level, which also uses little memory.
 func newCompressor() connect.Compressor {
 	compressor, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	if err != nil {
-		panic(errors.Wrap(err, "control: compression level")) // cannot fail: the level is a constant of the library
+		panic(errors.Wrap(err, "control: create a gzip writer at level BestSpeed")) // cannot fail: the level is valid
 	}
 	return compressor
 }
--- a/internal/region/control/peerclient.go
+++ b/internal/region/control/peerclient.go
@@ -14,8 +14,8 @@
 // compressed one, before compression is tried again: the machine may have been upgraded by then.
 const maxPlainDeliveries = 8
 
-// peerClient delivers messages to one machine. It compresses large deliveries unless that machine's version cannot read
-// them. It is not safe for concurrent use.
+// peerClient delivers messages to one machine. It compresses large deliveries unless the version that the machine runs
+// cannot read compressed deliveries. It is not safe for concurrent use.
 type peerClient struct {
 	compressed      fieldrelayv1connect.ControlPeerClient
 	plain           fieldrelayv1connect.ControlPeerClient
@@ -33,9 +33,9 @@
 
 // deliver sends a request of size bytes.
 //
-// A failed compressed delivery is repeated uncompressed unless the machine is known to read compressed ones. An earlier
-// version rejects a compressed request before it has arrived completely, which may look like a broken connection. A
-// later version may thus receive messages twice, which the protocol tolerates.
+// A failed compressed delivery is repeated uncompressed unless the machine is known to read compressed deliveries. An
+// earlier version rejects a compressed request before it has arrived completely, which may look like a broken
+// connection. A later version may thus receive messages twice, which the protocol tolerates.
 func (c *peerClient) deliver(ctx context.Context, request *pb.DeliverRequest, size int) error {
 	if size < minCompressedBytes {
 		return call(ctx, c.plain, request)
--- a/internal/region/coordination/lock_test.go
+++ b/internal/region/coordination/lock_test.go
@@ -28,7 +28,7 @@
 	executions int
 }
 
-// execute executes a new call while the holder has the given hold time left.
+// execute executes a new call while the holder's lease has the given remaining time.
 func (o *testRegister) execute(left time.Duration, call *pb.CoordinationCall) register.Outcome {
 	o.lastID++
 	call.Id = o.lastID
@@ -70,7 +70,7 @@
 	first := lock.execute(0, acquireCall("a", hold))
 	requireOutcome(t, outcomeOK, first)
 	assert.Equal(t, uint64(1), first.Result.GetFence())
-	assert.Equal(t, hold, first.HoldFor)
+	assert.Equal(t, hold, first.LeaseDuration)
 	requireOutcome(t, outcomeHeld, lock.execute(time.Millisecond, acquireCall("b", hold)))
 	second := lock.execute(0, acquireCall("b", hold))
 	requireOutcome(t, outcomeOK, second)
@@ -104,13 +104,13 @@
 		lock := &testRegister{}
 		lock.execute(0, acquireCall("a", hold))
 		outcome := lock.execute(2*time.Second, shorter)
-		assert.Equal(t, 2*time.Second, outcome.HoldFor, name)
+		assert.Equal(t, 2*time.Second, outcome.LeaseDuration, name)
 		assert.GreaterOrEqual(t, lock.value.GetLock().GetHoldMs(), uint32(2000), name)
 	}
 }
 
-// A renewal that is executed again must be a separate grant. A replica that accepted the first execution counts the
-// hold time from there, but the time granted by the second execution counts from the second.
+// A renewal that is executed again must be a separate grant. For a replica that accepted the first execution, the
+// lease begins at that time, but the lease granted by the second execution begins at the second.
 func TestRenewalThatIsExecutedAgainIsAnotherGrant(t *testing.T) {
 	lock := &testRegister{}
 	lock.execute(0, acquireCall("a", hold))
--- a/internal/region/register/transfer.go
+++ b/internal/region/register/transfer.go
@@ -8,7 +8,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// maxEarlyRequests limits the stored requests for epochs that this machine has not learnt of yet.
+// maxEarlyRequests is the maximum number of stored requests for epochs that this machine has not learnt of yet.
 const maxEarlyRequests = 16
 
 // transferInterval is how long a voter waits before it requests the registers of the current epoch again.
@@ -16,8 +16,8 @@
 
 // transfer is the state of collecting the registers of the current epoch, which this machine does not hold yet.
 type transfer struct {
-	requestedAt time.Duration
-	requested   bool
+	requestedAt time.Duration // time of the last request
+	requested   bool          // the registers have been requested at least once
 	// received holds the answers of the previous epoch's voters, by identity.
 	received map[string]*pb.RegisterTransfer
 }
@@ -52,7 +52,7 @@
 	}
 }
 
-// answerEarlyRequests answers the stored requests for the current epoch and drops those for earlier ones.
+// answerEarlyRequests answers the stored requests for the current epoch and drops those for earlier epochs.
 func (r *Replica) answerEarlyRequests() {
 	waiting := r.earlyRequests
 	r.earlyRequests = nil
@@ -61,7 +61,7 @@
 	}
 }
 
-// Tick requests the registers of the current epoch if this machine is a voter that does not hold them yet.
+// Tick requests the registers of the current epoch if this machine is a voter that does not hold the registers yet.
 func (r *Replica) Tick(now time.Duration) {
 	if r.membership.Epoch == 0 || r.IsActive() || !r.membership.includes(r.identity) {
 		return
@@ -91,7 +91,7 @@
 // positions that it lists as held are durable, because the answers omit those registers.
 func (r *Replica) requestTransfer() {
 	request := &pb.Message{Body: &pb.Message_RegisterTransferRequest{
-		RegisterTransferRequest: &pb.RegisterTransferRequest{Epoch: r.membership.Epoch, Held: r.heldPositions()},
+		RegisterTransferRequest: &pb.RegisterTransferRequest{Epoch: r.membership.Epoch, Held: r.localPositions()},
 	}}
 	asked := make(map[string]bool)
 	for _, voters := range [][]*pb.Replica{r.membership.Voters, r.membership.PreviousVoters} {
@@ -110,8 +110,8 @@
 	return r.activeEpoch == r.membership.PreviousEpoch && r.membership.votedBefore(r.identity)
 }
 
-// heldPositions returns the positions of this machine's registers, or nil if they are not valid for the current epoch.
-func (r *Replica) heldPositions() []*pb.RegisterRecord {
+// localPositions returns the positions of this machine's registers, or nil if they are not valid for the current epoch.
+func (r *Replica) localPositions() []*pb.RegisterRecord {
 	if !r.votedInPreviousEpoch() {
 		return nil
 	}
@@ -122,10 +122,10 @@
 	return records
 }
 
-// recordsNewerThan returns the registers that are newer here than in a list of positions.
-func (r *Replica) recordsNewerThan(held []*pb.RegisterRecord) []*pb.RegisterRecord {
-	known := make(map[string]*pb.RegisterPosition, len(held))
-	for _, record := range held {
+// recordsNewerThan returns the registers whose position on this machine is above that in a list of positions.
+func (r *Replica) recordsNewerThan(positions []*pb.RegisterRecord) []*pb.RegisterRecord {
+	known := make(map[string]*pb.RegisterPosition, len(positions))
+	for _, record := range positions {
 		known[record.GetName()] = record.GetAccepted()
 	}
 	return slices.DeleteFunc(r.registerRecords(), func(record *pb.RegisterRecord) bool {
@@ -134,8 +134,8 @@
 }
 
 // TransferRequested answers a voter that collects the registers of an epoch. It answers only if this machine has learnt
-// of that epoch and therefore accepts nothing in earlier ones. A previous voter that never participated sends an empty
-// answer, since it has accepted nothing.
+// of that epoch and therefore accepts nothing in earlier epochs. A previous voter that never participated sends an
+// empty answer, since it has accepted nothing.
 func (r *Replica) TransferRequested(from *pb.Replica, request *pb.RegisterTransferRequest) {
 	epoch := request.GetEpoch()
 	if epoch > r.membership.Epoch {
@@ -156,7 +156,7 @@
 		}
 	}
 	message := &pb.Message{Body: &pb.Message_RegisterTransfer{RegisterTransfer: answer}}
-	// Both the registers that are sent and the view must be durable first.
+	// Both the registers in the message and the view must be durable before the message is sent.
 	r.output.Persist(nil, from, message)
 }
 
@@ -201,8 +201,8 @@
 	return false
 }
 
-// install adopts the newest of the collected values, combined with this machine's own registers if they are valid, and
-// activates the epoch.
+// install adopts the newest value of each register among the collected registers and, if they are valid, this machine's
+// own registers, and activates the epoch.
 func (r *Replica) install(now time.Duration, collected []*pb.RegisterTransfer) {
 	if !r.output.CanPersist() {
 		return
