--- a/internal/region/agent/peer_server.go
+++ b/internal/region/agent/peer_server.go
@@ -33,7 +33,7 @@
 }
 
 // errBusy is the error of a call that is rejected because the event queue is full.
-var errBusy = errors.New("accept call of another agent: event queue is full")
+var errBusy = errors.New("the agent is busy")
 
 // peerService implements the service to other agents. It is safe for concurrent use.
 type peerService struct {
