--- a/internal/sidecar/relay/attempt.go
+++ b/internal/sidecar/relay/attempt.go
@@ -7,7 +7,7 @@
 	"fieldrelay/internal/sidecar/logic"
 )
 
-// AttemptID names one attempt: its request and its number, from 0.
+// AttemptID identifies an attempt by its request and its number within that request, from 0.
 type AttemptID struct {
 	Request uint64
 	Attempt int
@@ -17,27 +17,27 @@
 type Attempt struct {
 	ID         AttemptID
 	Payload    *Payload
-	Deadline   time.Time // when the attempt times out
-	SendBefore time.Time // its first byte must be written before; zero: before the deadline
+	Deadline   time.Time // time at which the attempt times out
+	SendBefore time.Time // time before which the first byte must be written; zero: Deadline
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt.
 type Result struct {
 	Outcome     logic.Outcome
 	At          time.Time
-	Body        []byte // with logic.Done only
+	Body        []byte // body of the answer, with logic.Done only
 	ContentType string
-	Charge      *budget.Charge // for the body; its hold passes to the relay
+	Charge      *budget.Charge // charge for the body; the relay takes over the hold on it
 }
 
 // pendingAttempt is an attempt that is not yet reported.
 type pendingAttempt struct {
 	serverID  uint64
 	startedAt time.Time
-	release   func() // returns what it reserved with the observer; nil: nothing
+	release   func() // releases the attempt's reservation with the observer; nil: no reservation
 }
 
-// send starts an attempt, or has it end as skipped if the observer does not let it through.
+// send starts an attempt, or ends it as skipped if the observer does not admit it.
 func (r *Relay) send(a *logic.Action) {
 	req, s := r.requests[a.Request], r.servers[a.Server]
 	id := AttemptID{a.Request, req.attempts}
@@ -70,7 +70,7 @@
 	s.Start(attempt)
 }
 
-// cancel stops waiting for an attempt that is not yet reported.
+// cancel cancels an attempt that is not yet reported.
 func (r *Relay) cancel(id AttemptID) {
 	if req := r.requests[id.Request]; req != nil {
 		if p, pending := req.pending[id.Attempt]; pending {
@@ -84,8 +84,8 @@
 	r.mailbox.Put(func() { r.attemptEnded(id, res) })
 }
 
-// attemptEnded concludes an attempt. Whatever may race (a late answer, a cancellation, a withdrawal, the
-// expiry) meets here, on one actor: whichever ended the request first has ended it.
+// attemptEnded processes the result of an attempt. A late answer, a cancellation, a withdrawal and the expiry of
+// the request can race; the actor serializes them, and the first one to end the request takes effect.
 func (r *Relay) attemptEnded(id AttemptID, res Result) {
 	req := r.requests[id.Request]
 	var p pendingAttempt
@@ -115,8 +115,8 @@
 	r.closeIfGone(p.serverID, s)
 }
 
-// releaseReserved returns what an attempt reserved with the observer: at once, or when the request expires if
-// the server may still work on it.
+// releaseReserved releases an attempt's reservation with the observer: at once, or at the expiry of the request
+// if the server may still work on the attempt.
 func (r *Relay) releaseReserved(p pendingAttempt, req *request, outcome logic.Outcome) {
 	switch {
 	case p.release == nil:
--- a/internal/sidecar/relay/drain.go
+++ b/internal/sidecar/relay/drain.go
@@ -6,15 +6,15 @@
 	"fieldrelay/internal/sidecar/logic"
 )
 
-// drainReportTTL is how long a server is seen as draining on the report of another sidecar alone.
+// drainReportTTL is how long a server counts as draining if only another sidecar has reported it.
 const drainReportTTL = time.Minute
 
-// maxDrainReports bounds the servers that are seen so at once.
+// maxDrainReports bounds the number of servers that count as draining by such reports at a time.
 const maxDrainReports = 1024
 
-// ReportDrain records that another sidecar's list has a server, by its name and start, as draining, or no
-// longer so. It holds for that start and for drainReportTTL, so that a sidecar whose list is late does not send
-// to a server that drains.
+// ReportDrain records that another sidecar's list has a server, identified by its name and start time, as
+// draining or as no longer draining. The record applies to that start of the server only and expires after
+// drainReportTTL. It keeps a sidecar whose list is late from sending to a draining server.
 func (r *Relay) ReportDrain(name string, startedAt time.Duration, draining bool) {
 	r.mailbox.Put(func() {
 		reported, exists := r.reportedDraining[name]
@@ -33,7 +33,7 @@
 	})
 }
 
-// addDrainReport records a drain until drainReportTTL has passed.
+// addDrainReport records that a server drains, for drainReportTTL.
 func (r *Relay) addDrainReport(name string, startedAt time.Duration) {
 	if r.reportedDraining == nil {
 		r.reportedDraining = map[string]time.Duration{}
@@ -56,8 +56,8 @@
 	return exists && s != nil && startedAt == s.startedAt
 }
 
-// notifyDrain notifies the observer of an entry by which a server begins to drain, or no longer does. A server
-// that a list leaves out is not reported: lists have gaps.
+// notifyDrain notifies the observer if an entry starts or ends the drain of a server. A server that is missing
+// from a list is not reported, since lists can be incomplete.
 func (r *Relay) notifyDrain(m Member) {
 	s := r.servers[m.ID]
 	if r.observer == nil || s == nil || s.startedAt != m.Since {
--- a/internal/sidecar/relay/ejection.go
+++ b/internal/sidecar/relay/ejection.go
@@ -2,9 +2,9 @@
 
 import "maps"
 
-// SetEjected has the module see the servers of these names as draining until the next call, whatever the list
-// says. Those of the last call that are not among them return to their former state, without a slow start. It
-// takes effect only while another server is ready.
+// SetEjected presents the servers of these names to the module as draining until the next call, whatever the
+// list says. Servers of the previous call that are not in names return to their listed state, without slow
+// start. Ejections take effect only while another server is ready.
 func (r *Relay) SetEjected(names []string) {
 	r.mailbox.Put(func() {
 		next := make(map[string]bool, len(names))
@@ -28,8 +28,8 @@
 	}
 }
 
-// restoreIfNoneReady drops all ejections and reported drains if no other server is ready: a doubtful server
-// is better than none.
+// restoreIfNoneReady drops all ejections and reported drains if no other server is ready: a server that may
+// fail is better than none.
 func (r *Relay) restoreIfNoneReady() {
 	if len(r.ejected)+len(r.reportedDraining) == 0 || r.ready.Load() {
 		return
--- a/internal/sidecar/relay/module.go
+++ b/internal/sidecar/relay/module.go
@@ -8,7 +8,7 @@
 	"fieldrelay/internal/sidecar/logic"
 )
 
-// step lets the module decide on one event and carries out its actions. A panic in it fails the open
+// step passes one event to the module and performs the resulting actions. A panic in the module fails the open
 // requests, not the process.
 func (r *Relay) step(ev *logic.Event) {
 	defer func() {
@@ -23,7 +23,7 @@
 	}
 }
 
-// perform carries out one action of the module.
+// perform performs one action of the module.
 func (r *Relay) perform(a *logic.Action) {
 	switch a.Kind {
 	case logic.ActSend:
@@ -47,7 +47,7 @@
 	}
 }
 
-// scheduleWake wakes the module at a time of its clock, and not before it.
+// scheduleWake sends the module a wake-up at time at of the module's clock, never earlier.
 func (r *Relay) scheduleWake(at time.Duration, timer logic.Timer) {
 	incarnation := r.incarnation
 	time.AfterFunc(at-r.now(), func() {
@@ -59,8 +59,8 @@
 	})
 }
 
-// restart replaces a module that has failed: its open requests fail, their attempts are canceled, and a new
-// module starts from the list as it stands.
+// restart replaces a module that has panicked: the open requests fail, their attempts are canceled, and a new
+// module starts from the current list.
 func (r *Relay) restart() {
 	r.ready.Store(false)
 	for id, req := range r.requests {
@@ -77,7 +77,7 @@
 	r.balancer = b
 	r.incarnation++
 	r.seed++
-	if r.restarting { // it fails on the list itself: wait for the next one
+	if r.restarting { // the module panicked on the list itself: wait for the next list
 		return
 	}
 	r.restarting = true
--- a/internal/sidecar/relay/relay.go
+++ b/internal/sidecar/relay/relay.go
@@ -22,34 +22,34 @@
 	list      ServerList
 	mailbox   *mailbox.Mailbox
 	epoch     time.Time     // start, with the monotonic clock
-	epochUnix time.Duration // the same in Unix time
-	lastID    atomic.Uint64 // of a request
+	epochUnix time.Duration // epoch in Unix time
+	lastID    atomic.Uint64 // id of the request submitted last
 	ready     atomic.Bool
 
-	// Servers listed, and those of them that are suspended, ejected or reported to drain.
+	// Number of listed servers, and number of those that are suspended, ejected or reported to drain.
 	listed, unavailable atomic.Int64
 
-	// What follows belongs to the actor.
+	// The fields below belong to the actor.
 
 	cfg         logic.Config
 	seed        uint64
 	balancer    *logic.Balancer
-	incarnation int  // of the balancer: wake-ups of an earlier one are not its own
-	restarting  bool // a new balancer has not been given the list yet
+	incarnation int  // generation of the balancer: timers set for an earlier generation are ignored
+	restarting  bool // set while a replaced balancer has not yet received the list
 	actions     []logic.Action
-	observer    Observer // nil: none
+	observer    Observer // may be nil
 
 	requests    map[uint64]*request
-	recentCalls map[string]bool // call ids of the requests, and of those that ended within duplicateWindow
+	recentCalls map[string]bool // call ids of open requests and of requests that ended within duplicateWindow
 	servers     map[uint64]*server
 
-	suspended        map[string]bool          // names of servers
-	ejected          map[string]bool          // likewise
-	reportedDraining map[string]time.Duration // starts of servers, by name
+	suspended        map[string]bool          // names of suspended servers
+	ejected          map[string]bool          // names of ejected servers
+	reportedDraining map[string]time.Duration // start times of servers reported to drain, by name
 }
 
-// New returns a relay whose module has these settings and whose random draws follow from seed. The error is
-// that of logic.New.
+// New returns a relay whose decision module has the settings cfg and takes its random numbers from seed. It
+// returns the error of logic.New.
 func New(cfg logic.Config, seed uint64, transport Transport, log zerolog.Logger) (*Relay, error) {
 	b, err := logic.New(cfg, seed)
 	if err != nil {
@@ -64,7 +64,8 @@
 	}, nil
 }
 
-// SetObserver registers an observer. It must be called before Start; without one nothing is recorded for it.
+// SetObserver registers an observer. It must be called before Start; without an observer no attempt is limited
+// and no outcome is reported.
 func (r *Relay) SetObserver(o Observer) { r.observer = o }
 
 // Start runs the actor for the rest of the process.
@@ -73,9 +74,9 @@
 	go r.mailbox.Run()
 }
 
-// Reconfigure takes over the classes, the bound on attempts and the tenants of new settings for requests from
-// now on; open requests keep their class. done is called on the actor with the module's error; with one,
-// nothing has changed.
+// Reconfigure applies the classes, the bound on attempts and the tenants of new settings to requests submitted
+// from now on; open requests keep their class. done is called on the actor with the module's error; if that is
+// not nil, nothing has changed.
 func (r *Relay) Reconfigure(next logic.Config, done func(error)) {
 	classes, attempts := next.Classes, next.Limits.MaxAttempts
 	r.mailbox.Put(func() {
@@ -89,17 +90,17 @@
 	})
 }
 
-// SetTenantAllowance sets this sidecar's part of a tenant's allowance, in requests a second. Below 0 it is an
-// equal part, as at the start.
+// SetTenantAllowance sets this sidecar's part of a tenant's allowance, in requests per second. A negative rate
+// restores the initial equal part.
 func (r *Relay) SetTenantAllowance(tenant string, rate float64) {
 	r.mailbox.Put(func() { r.balancer.SetTenantAllowance(tenant, rate) })
 }
 
-// Ready reports whether a listed server takes requests.
+// Ready reports whether at least one listed server accepts requests.
 func (r *Relay) Ready() bool { return r.ready.Load() }
 
-// moduleTime is t on the module's clock: Unix time at the start and monotonic time since then, so that it
-// never goes back and yet compares with the times in the list.
+// moduleTime converts t to the module's clock: Unix time at the start plus the monotonic time since then. The
+// clock never goes back and can be compared with the times in the list.
 func (r *Relay) moduleTime(t time.Time) time.Duration { return r.epochUnix + t.Sub(r.epoch) }
 
 func (r *Relay) now() time.Duration { return r.moduleTime(time.Now()) }
--- a/internal/sidecar/relay/request.go
+++ b/internal/sidecar/relay/request.go
@@ -8,10 +8,10 @@
 	"fieldrelay/internal/sidecar/logic"
 )
 
-// MaxBodySize bounds the body of a request and of its answer, in bytes. Listeners and transports keep to it.
+// MaxBodySize bounds the body of a request and of its answer, in bytes. Listeners and transports enforce it.
 const MaxBodySize = 64 << 10
 
-// Payload is what a request asks of a server. It is forwarded unchanged, and shared by all attempts.
+// Payload is the part of a request that is forwarded to servers unchanged. All attempts share it.
 type Payload struct {
 	Method         string
 	Target         string // path and query
@@ -19,28 +19,28 @@
 	ContentType    string
 	CallID         string
 	IdempotencyKey string
-	// ClientGone reports whether the client has gone as far as the operating system knows at that moment, also
-	// where no goroutine has noticed yet. It must not block and may be called from any goroutine. nil: only
-	// Withdraw says so.
+	// ClientGone reports whether the operating system has seen the client close its connection, even if no
+	// goroutine has noticed yet. It must not block and may be called from any goroutine. If it is nil, only
+	// Withdraw reports the client's leaving.
 	ClientGone func() bool
-	// Charge accounts for all of it. Who writes the payload out holds the charge meanwhile; the relay releases
-	// its own hold once the request has ended and each of its attempts is reported.
+	// Charge accounts for the memory of the whole request. A transport holds the charge while it writes the
+	// payload; the relay releases its own hold once the request has ended and all its attempts are reported.
 	Charge *budget.Charge
 
-	ended atomic.Bool // the request has its final answer or was withdrawn
+	ended atomic.Bool // set once the request has its final answer or was withdrawn
 }
 
 // Wanted reports whether an attempt may still begin: the request has no answer and its client waits for one.
-// Who writes an attempt asks just before its first byte.
+// Transports call it just before they write the first byte of an attempt.
 func (p *Payload) Wanted() bool { return !p.ended.Load() && (p.ClientGone == nil || !p.ClientGone()) }
 
 // Request is a request as a listener received it from a client.
 type Request struct {
 	Class        string
-	Tenant       string        // the caller as X-Caller names it; "": none
-	Retry        bool          // the client retries what was not served
-	ExpectedWork time.Duration // 0: not told
-	Expires      time.Time     // when the client stops waiting
+	Tenant       string        // tenant named by the header X-Caller; "": none
+	Retry        bool          // the client repeats a request that was not served
+	ExpectedWork time.Duration // work that the client expects; 0: not stated
+	Expires      time.Time     // time at which the client stops waiting
 	Payload      *Payload
 	// Answer is called once, on the actor, unless the request is withdrawn first. It must not block.
 	Answer func(Answer)
@@ -52,9 +52,9 @@
 // The final answers of a request.
 const (
 	Served    AnswerKind = iota // a server's answer, unchanged
-	Rejected                    // a retry does no harm
-	Failed                      // nothing is known of any effect
-	Duplicate                   // not accepted: its call id is that of a request that is open or has just ended
+	Rejected                    // not executed, so a retry is safe
+	Failed                      // unknown whether the request was executed
+	Duplicate                   // not accepted: a request with the same call id is open or has just ended
 )
 
 // Answer is the final answer of a request.
@@ -62,32 +62,32 @@
 	Kind        AnswerKind
 	Body        []byte
 	ContentType string
-	RetryAfter  time.Duration  // with Rejected; 0: no advice
-	Charge      *budget.Charge // for the body; who receives the answer releases it once that is written
+	RetryAfter  time.Duration  // advised delay before a retry, with Rejected only; 0: no advice
+	Charge      *budget.Charge // charge for the body; the recipient releases it once the answer is written
 }
 
-// duplicateWindow is how long the call id of a request that has ended is remembered. Whoever copies the id of
-// an open request may arrive just after its end.
+// duplicateWindow is how long the call id of an ended request is remembered: a request that reuses the id of an
+// open one may arrive just after that one's end.
 const duplicateWindow = 2 * time.Second
 
-// request is the state of a request until it has ended and each of its attempts is reported.
+// request is the state of a request. It is kept until the request has ended and all its attempts are reported.
 type request struct {
 	Request
 	ended    bool
-	attempts int                    // begun so far
-	admitted int                    // of those, let through by the observer
-	pending  map[int]pendingAttempt // not yet reported, by number
+	attempts int                    // number of attempts begun
+	admitted int                    // number of attempts that the observer admitted
+	pending  map[int]pendingAttempt // attempts not yet reported, by number
 }
 
-// end marks a request as concluded, on this actor and for those who hold its payload: an attempt of it that
-// waits for a connection will not begin, whether or not the module may cancel it.
+// end marks a request as ended, for the actor and for the holders of its payload: an attempt that still waits
+// for a connection will not begin, even if the module may not cancel it.
 func (r *request) end() {
 	r.ended = true
 	r.Payload.ended.Store(true)
 }
 
-// Submit accepts a request and returns its id. One with the call id of another would look like a second copy
-// of that to the servers, so it is answered as Duplicate.
+// Submit accepts a request and returns its id. A request with the call id of another one is answered as
+// Duplicate, since servers would take it for a second copy of that one.
 func (r *Relay) Submit(req Request) uint64 {
 	id := r.lastID.Add(1)
 	r.mailbox.Put(func() {
@@ -104,7 +104,7 @@
 	return id
 }
 
-// Withdraw reports that the client of a request has gone. An answer may be on its way at the same time.
+// Withdraw reports that the client of a request has disconnected. The answer may be delivered concurrently.
 func (r *Relay) Withdraw(id uint64) {
 	r.mailbox.Put(func() {
 		if req := r.requests[id]; req != nil && !req.ended {
@@ -115,7 +115,7 @@
 	})
 }
 
-// finish gives a request its final answer, unless it has had one or was withdrawn.
+// finish delivers the final answer of a request, unless the request already has one or was withdrawn.
 func (r *Relay) finish(id uint64, a Answer) {
 	if req := r.requests[id]; req != nil && !req.ended {
 		req.end()
@@ -123,10 +123,10 @@
 		r.forget(id)
 		return
 	}
-	a.Charge.Release() // nobody receives it
+	a.Charge.Release() // the answer is not delivered
 }
 
-// forget drops a request that has ended once each of its attempts is reported.
+// forget drops a request if it has ended and all its attempts are reported.
 func (r *Relay) forget(id uint64) {
 	if req := r.requests[id]; req != nil && req.ended && len(req.pending) == 0 {
 		delete(r.requests, id)
--- a/internal/sidecar/relay/server.go
+++ b/internal/sidecar/relay/server.go
@@ -6,56 +6,57 @@
 	"fieldrelay/internal/sidecar/logic"
 )
 
-// Server is the connections to one server. No call blocks.
+// Server manages the connections to one server. No method blocks.
 type Server interface {
-	// Start begins an attempt. Each one is reported exactly once, by the function given to Transport.Open.
+	// Start begins an attempt. Each attempt is reported exactly once, by the function given to Transport.Open.
 	Start(Attempt)
-	// Cancel ends an attempt that is not yet reported; another one is left alone.
+	// Cancel ends an attempt that is not yet reported; for any other attempt it does nothing.
 	Cancel(AttemptID)
 	// CloseIdle closes the connections without an attempt.
 	CloseIdle()
-	// TrimIdle closes those that have had none for a while.
+	// TrimIdle closes the connections that have had no attempt for a while.
 	TrimIdle()
-	// Update takes over a changed entry of the list.
+	// Update applies a changed entry of the list.
 	Update(Member)
-	// Close says that no further attempt will start.
+	// Close releases the server; no attempt is started after it.
 	Close()
 }
 
 // Transport connects to servers.
 type Transport interface {
-	// Open returns the server of an entry. It calls report once for each attempt, from any goroutine.
+	// Open returns the server of a list entry, which calls report once for each attempt, from any goroutine.
 	Open(m Member, report func(AttemptID, Result)) Server
 }
 
 // ServerList is the source of the server list.
 type ServerList interface {
-	// Watch requests the list and changes to it from now on. It is answered by Relay.UpdateMembers or
-	// Relay.ListLost, and does not block.
+	// Watch subscribes to the list and its changes. The list answers by calling Relay.UpdateMembers or
+	// Relay.ListLost. Watch does not block.
 	Watch()
 }
 
 // Member is one entry of the server list.
 type Member struct {
 	logic.Server
-	Name     string // as the list writes it, and as operators call the server
+	Name     string // name of the server in the list and in operators' commands
 	Addr     string
-	ListedAt time.Time // when the list said so
+	ListedAt time.Time // time at which the list reported this entry
 }
 
 // Members is the server list or a change to it.
 type Members struct {
 	Members  []Member
-	Complete bool // it is the whole list
-	Stored   bool // it was stored before this start
+	Complete bool // Members is the whole list, not a change
+	Stored   bool // Members was stored before this start of the process or module
 }
 
-// server is a server of the list. Most servers of a long list never get an attempt: those have a nil Server.
+// server is a server of the list. Its Server is nil until its first attempt, since most servers of a long list
+// never get one.
 type server struct {
 	Server
 	member    Member
-	pending   int           // attempts not yet reported
-	startedAt time.Duration // by the list, on the module's clock
+	pending   int           // number of attempts not yet reported
+	startedAt time.Duration // start time of the server as listed, on the module's clock
 }
 
 // UpdateMembers applies the server list or a change to it.
@@ -63,8 +64,8 @@
 	r.mailbox.Put(func() { r.applyMembers(l) })
 }
 
-// ListLost reports that a watch failed or broke off. notifiedAt is when a change that was missed counts as
-// notified; the zero time: as the contract's interval says.
+// ListLost reports that a watch failed or ended. notifiedAt is the time at which a missed change counts as
+// notified; if it is zero, the interval of the contract applies.
 func (r *Relay) ListLost(notifiedAt time.Time) {
 	r.mailbox.Put(func() {
 		ev := &logic.Event{Kind: logic.EvListLost}
@@ -113,7 +114,8 @@
 	}
 }
 
-// markOthersRemoved marks the servers that a complete list leaves out. The module does so by itself.
+// markOthersRemoved marks the servers missing from a complete list as gone. The module does the same for its own
+// state.
 func (r *Relay) markOthersRemoved(listed map[uint64]bool) {
 	for id, s := range r.servers {
 		if !listed[id] {
@@ -124,8 +126,8 @@
 	}
 }
 
-// closeIfGone closes a server that is gone from the list once it has no pending attempt. Where gone is
-// advisory the module may still send to it.
+// closeIfGone closes and forgets a server that the list has as gone and that has no pending attempt. If
+// Contract.GoneIsAdvisory is set, the server stays open, since the module may still send to it.
 func (r *Relay) closeIfGone(id uint64, s *server) {
 	if s.member.State == logic.Gone && s.pending == 0 && !r.cfg.Contract.GoneIsAdvisory {
 		if s.Server != nil {
@@ -135,7 +137,7 @@
 	}
 }
 
-// TrimIdle closes the connections to servers that have been idle for a while, to free their bytes.
+// TrimIdle closes the connections to servers that have been idle for a while, to free memory.
 func (r *Relay) TrimIdle() {
 	r.mailbox.Put(func() {
 		for _, s := range r.servers {
@@ -146,8 +148,8 @@
 	})
 }
 
-// capacity is the least fraction (0 to 1) of its full capacity that a server has now, by the contract: during
-// slow start it grows linearly.
+// capacity returns the minimum fraction (0 to 1) of its full capacity that the contract guarantees for a server
+// now. It grows linearly during slow start.
 func (r *Relay) capacity(s *server) float64 {
 	c, age := &r.cfg.Contract, r.now()-s.startedAt
 	if s.startedAt <= 0 || c.SlowStartWindow <= 0 || age >= c.SlowStartWindow {
@@ -156,8 +158,8 @@
 	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*float64(max(age, 0))/float64(c.SlowStartWindow)
 }
 
-// effective is the entry as the module sees it: a server that is ready by the list but suspended, ejected or
-// reported to drain is draining.
+// effective returns the entry as the module sees it: a server that the list has as ready is draining if it is
+// suspended, ejected or reported to drain.
 func (r *Relay) effective(m Member) Member {
 	if (r.suspended[m.Name] || r.ejected[m.Name] || r.drainReported(m)) && m.State == logic.Ready {
 		m.State = logic.Draining
@@ -165,7 +167,7 @@
 	return m
 }
 
-// refresh notifies the module and the server of an entry whose effective state may have changed.
+// refresh passes an entry whose effective state may have changed to the module and to the server's connections.
 func (r *Relay) refresh(m Member) {
 	effective := r.effective(m)
 	if s := r.servers[m.ID]; s != nil && s.Server != nil {
@@ -183,7 +185,7 @@
 	}
 }
 
-// listedServer returns the server of that name which the list has, or nil.
+// listedServer returns the listed server of that name, or nil.
 func (r *Relay) listedServer(name string) *server {
 	for _, s := range r.servers {
 		if s.member.Name == name && s.member.State != logic.Gone {
@@ -193,11 +195,11 @@
 	return nil
 }
 
-// listedTimeout is how long IsListed waits for the actor.
+// listedTimeout bounds how long IsListed waits for the actor.
 const listedTimeout = 300 * time.Millisecond
 
-// IsListed reports whether the list has a server of that name. It waits for the actor, and must not be called
-// on it; if the actor does not answer in time the name is taken to be listed.
+// IsListed reports whether the list has a server of that name. It waits for the actor, so it must not be called
+// on the actor. If the actor does not answer within listedTimeout, IsListed returns true.
 func (r *Relay) IsListed(name string) bool {
 	answer := make(chan bool, 1)
 	r.mailbox.Put(func() { answer <- r.listedServer(name) != nil })
@@ -209,13 +211,14 @@
 	}
 }
 
-// ServerCounts returns how many servers are listed, and how many of those are suspended, ejected or reported
-// to drain.
+// ServerCounts returns the number of listed servers and the number of those that are suspended, ejected or
+// reported to drain.
 func (r *Relay) ServerCounts() (listed, unavailable int) {
 	return int(r.listed.Load()), int(r.unavailable.Load())
 }
 
-// updateReadiness updates readiness and the counts of servers, and returns how many servers take attempts.
+// updateReadiness updates readiness and the server counts, and returns the number of servers that accept
+// attempts.
 func (r *Relay) updateReadiness() (usable int) {
 	listed, unavailable := 0, 0
 	for _, s := range r.servers {
--- a/internal/sidecar/relay/suspension.go
+++ b/internal/sidecar/relay/suspension.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// MaxSuspended bounds the servers that are suspended at once.
+// MaxSuspended bounds the number of servers that are suspended at a time.
 const MaxSuspended = 4096
 
-// ErrUnknownServer is the error of a name that no entry of the list has.
+// ErrUnknownServer is returned for a name that is not in the list.
 var ErrUnknownServer = errors.New("no such execute node is listed")
 
-// ErrTooManySuspended is the error of a suspension beyond MaxSuspended.
+// ErrTooManySuspended is returned for a suspension beyond MaxSuspended.
 var ErrTooManySuspended = errors.New("too many execute nodes are suspended")
 
-// Suspend has the module see the server of that name as draining until Restore, whatever the list says: it
-// gets no new attempts, and those in flight end as they would. A second suspension changes nothing. With
-// mustBeListed the name must be in the list; without, it may be any (a suspension from an earlier process).
-// done is called on the actor with the names then suspended, sorted, or with ErrUnknownServer or
-// ErrTooManySuspended.
+// Suspend presents the server of that name to the module as draining until Restore, whatever the list says: the
+// server gets no new attempts, and attempts in flight continue. Suspending a suspended server changes nothing.
+// If mustBeListed is set, the name must be in the list; otherwise any name is accepted, such as one suspended by
+// an earlier process. done is called on the actor with the sorted names of all suspended servers, or with
+// ErrUnknownServer or ErrTooManySuspended.
 func (r *Relay) Suspend(name string, mustBeListed bool, done func([]string, error)) {
 	r.mailbox.Put(func() {
 		s := r.listedServer(name)
@@ -41,9 +41,9 @@
 	})
 }
 
-// Restore ends the suspension of a server, which returns as if it had just started, in slow start: as a rule
-// it was restarted meanwhile. done is called as by Suspend; a name neither suspended nor listed is
-// ErrUnknownServer.
+// Restore ends the suspension of a server. The server returns in slow start, as if it had just started, since
+// servers are usually restarted while suspended. done is called as by Suspend; the error for a name that is
+// neither suspended nor listed is ErrUnknownServer.
 func (r *Relay) Restore(name string, done func([]string, error)) {
 	r.mailbox.Put(func() {
 		s := r.listedServer(name)
@@ -62,7 +62,8 @@
 	})
 }
 
-// suspendedNames returns the names in order. It is never nil, as what is stored of it depends on that.
+// suspendedNames returns the sorted names of the suspended servers. The result is never nil: the stored form
+// depends on that.
 func (r *Relay) suspendedNames() []string {
 	names := slices.AppendSeq(make([]string, 0, len(r.suspended)), maps.Keys(r.suspended))
 	slices.Sort(names)
