--- a/internal/sidecar/relay/attempt.go
+++ b/internal/sidecar/relay/attempt.go
@@ -95,7 +95,7 @@
 	}
 	if !pending {
 		r.log.Error().Uint64("request", id.Request).Int("attempt", id.Attempt).
-			Msg("result of an attempt that is not in flight")
+			Msg("ignored the result of an attempt that is not pending")
 		res.Charge.Release()
 		return
 	}
--- a/internal/sidecar/relay/differential_test.go
+++ b/internal/sidecar/relay/differential_test.go
@@ -11,7 +11,7 @@
 	"fieldrelay/internal/sidecar/logic"
 )
 
-// script plays drawn requests, outcomes and lists to a relay and gives all that it sent to the others, in order.
+// script feeds randomly drawn requests, outcomes and lists to a relay and returns all calls and answers of the relay, in order.
 func script(t *testing.T, seed uint64, o Observer) (lines []string) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := logic.Config{Tick: 5 * time.Millisecond, Classes: []logic.Class{{Name: "safe", Deadline: time.Second, LatencyTarget: 300 * time.Millisecond},
@@ -52,7 +52,7 @@
 				m.State = []logic.State{logic.Ready, logic.Draining}[rng.IntN(2)]
 				b.list(false, m)
 			}
-			time.Sleep(time.Duration(1 + rng.Int64N(int64(30*time.Millisecond)))) // no two timers at one time
+			time.Sleep(time.Duration(1 + rng.Int64N(int64(30*time.Millisecond)))) // so that no two timers fire at the same time
 			synctest.Wait()
 		}
 		time.Sleep(5 * time.Second)
@@ -62,7 +62,7 @@
 	return lines
 }
 
-// Without a fleet, and in one that limits nothing and ejects nothing, the same is decided: event by event, to the word.
+// A relay without an observer and one whose observer admits every attempt must make the same decisions, event by event.
 func TestSameDecisionsWithoutAFleet(t *testing.T) {
 	claims := 0
 	for seed := range uint64(20) {
@@ -73,11 +73,11 @@
 		claims += len(alone)
 	}
 	if claims < 4000 {
-		t.Errorf("%d lines compared", claims)
+		t.Errorf("%d lines compared, want at least 4000", claims)
 	}
 	t.Logf("%d lines compared", claims)
-	// It would be noticed.
+	// Counter-check: an observer that rejects attempts must make a difference.
 	if slices.Equal(script(t, 3, nil), script(t, 3, &recordingObserver{outcomes: map[string]int{}, rejecting: true})) {
-		t.Error("an observer that lets nothing through makes no difference")
+		t.Error("an observer that rejects all attempts makes no difference")
 	}
 }
--- a/internal/sidecar/relay/ejection.go
+++ b/internal/sidecar/relay/ejection.go
@@ -45,5 +45,5 @@
 	for name := range dropped {
 		r.refreshNamed(name)
 	}
-	r.log.Warn().Int("servers", len(dropped)).Msg("ejections and reported drains ignored: no other server is ready")
+	r.log.Warn().Int("servers", len(dropped)).Msg("dropped ejections and reported drains: no other server is ready")
 }
--- a/internal/sidecar/relay/module.go
+++ b/internal/sidecar/relay/module.go
@@ -13,7 +13,7 @@
 func (r *Relay) step(ev *logic.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			r.log.Error().Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).Msg("decision module failed")
+			r.log.Error().Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).Msg("decision module panicked; failing all open requests")
 			r.restart()
 		}
 	}()
@@ -71,7 +71,7 @@
 	}
 	b, err := logic.New(r.cfg, r.seed)
 	if err != nil {
-		r.log.Error().Err(err).Msg("decision module not restarted")
+		r.log.Error().Err(err).Msg("restarting the decision module failed")
 		return
 	}
 	r.balancer = b
--- a/internal/sidecar/relay/observe_test.go
+++ b/internal/sidecar/relay/observe_test.go
@@ -11,19 +11,19 @@
 	"fieldrelay/internal/sidecar/logic"
 )
 
-// recordingObserver writes down what an observer receives.
+// recordingObserver records the calls that an observer receives.
 type recordingObserver struct {
 	outcomes  map[string]int
 	listed    []string
 	drains    []string
 	reserved  int
 	capacity  float64
-	rejecting bool // no attempt may start
-	unlisted  int  // attempts at servers that the observer was not notified of
+	rejecting bool // admit no attempt
+	unlisted  int  // number of attempts at servers that the observer was not notified of
 }
 
-// An attempt that the limits do not admit is never written: the module goes on as its rules allow, and what the others
-// have reserved is released once each.
+// An attempt that the observer does not admit must never be sent, and its request is rejected as not executed. Each
+// reservation of an admitted attempt must be released exactly once.
 func TestObserverAdmitsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := logic.Config{Tick: 5 * time.Millisecond, Classes: []logic.Class{{Name: "once", Effect: logic.Unsafe, Deadline: time.Second}},
@@ -36,26 +36,26 @@
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		if got := strings.Join(b.lines, ", "); got != "answer 1 rejected" {
-			t.Errorf("%q: it never ran, so coming again does no harm", got)
+			t.Errorf("recorded %q, want a rejection only: the request never ran, so a retry is safe", got)
 		}
 		b.on(func() { w.rejecting = false })
 		id := b.submit("once")
 		if reserved, capacity := w.state(b); reserved != 1 || capacity != 1 {
-			t.Errorf("%d reserved by one attempt, capacity %g", reserved, capacity)
+			t.Errorf("%d reserved by one attempt, capacity %g; want 1 and 1", reserved, capacity)
 		}
 		b.outcome(id, logic.Done, "hi")
 		if reserved, _ := w.state(b); reserved != 0 {
-			t.Errorf("%d reserved after it", reserved)
+			t.Errorf("%d reserved after the attempt, want 0", reserved)
 		}
-		id = b.submit("once") // the server may work on what broke off until the request's time is over
+		id = b.submit("once") // the server may work on an attempt whose connection was reset until the request expires
 		b.outcome(id, logic.Reset, "")
 		if reserved, _ := w.state(b); reserved != 1 {
-			t.Errorf("%d reserved by what broke off", reserved)
+			t.Errorf("%d reserved after a reset and before the request's expiry, want 1", reserved)
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if reserved, _ := w.state(b); reserved != 0 {
-			t.Errorf("%d reserved after the request's time", reserved)
+			t.Errorf("%d reserved after the request's expiry, want 0", reserved)
 		}
 		capacity := 0.0
 		b.on(func() {
@@ -63,7 +63,7 @@
 			capacity = b.capacity(&server{startedAt: b.now() - 5*time.Second})
 		})
 		if capacity < 0.599 || capacity > 0.601 {
-			t.Errorf("capacity %g at half of the slow start", capacity)
+			t.Errorf("capacity %g halfway through the slow start, want 0.6", capacity)
 		}
 	})
 }
@@ -86,13 +86,13 @@
 	return func() { w.reserved-- }, true
 }
 
-// state returns what is reserved, and the capacity of the last server, as the actor has them.
+// state returns the number of reservations and the capacity at the last attempt, read on the actor.
 func (w *recordingObserver) state(b *bench) (reserved int, capacity float64) {
 	b.on(func() { reserved, capacity = w.reserved, w.capacity })
 	return reserved, capacity
 }
 
-// on does something on the relay's goroutine and waits for it.
+// on runs do on the relay's goroutine and waits for it.
 func (b *bench) on(do func()) {
 	b.mailbox.Put(do)
 	synctest.Wait()
@@ -110,15 +110,15 @@
 	slices.Sort(w.listed)
 }
 
-// Requests that wait for a server are sent as soon as there is one: an observer that did not know of it by then could not
-// limit those attempts.
+// Waiting requests are sent as soon as a server becomes ready. The observer must have been notified of that server before, or
+// it could not limit those attempts.
 func TestObserverKnowsAServerBeforeItsFirstAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
-		wait func(b *bench, m Member) // from when requests wait
-		send func(b *bench, m Member)
+		wait func(b *bench, m Member) // makes later requests wait for a server
+		send func(b *bench, m Member) // makes the server ready
 	}{
 		"the first list": {func(*bench, Member) {}, func(b *bench, m Member) { b.list(true, m) }},
-		"a server that was drained is ready again": {func(b *bench, m Member) {
+		"a draining server is ready again": {func(b *bench, m Member) {
 			m.State = logic.Draining
 			b.list(true, m)
 		}, func(b *bench, m Member) { b.list(false, m) }},
@@ -144,18 +144,18 @@
 					b.submit("safe")
 				}
 				if reserved, _ := w.state(b); reserved != 0 {
-					t.Fatalf("%d sent before", reserved)
+					t.Fatalf("%d attempts sent while no server is ready, want 0", reserved)
 				}
 				c.send(b, m)
 				if reserved, _ := w.state(b); reserved == 0 || w.unlisted != 0 {
-					t.Errorf("%d sent, %d of them at a server that the observer does not know", reserved, w.unlisted)
+					t.Errorf("%d attempts sent, want some; %d of them at a server that the observer was not notified of", reserved, w.unlisted)
 				}
 			})
 		})
 	}
 }
 
-// Servers that are ejected get no attempt, come back as they were, and are used all the same where nothing else is ready.
+// An ejected server must get no attempt, must return without slow start, and must be used if no other server is ready.
 func TestEjectedServersGetNoAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := logic.Config{Tick: 5 * time.Millisecond, Classes: []logic.Class{{Name: "safe", Deadline: time.Second}},
@@ -186,49 +186,49 @@
 		}
 		eject("a")
 		if _, down := b.ServerCounts(); down != 1 || !b.Ready() {
-			t.Errorf("down %d, ready %v", down, b.Ready())
+			t.Errorf("unavailable %d, ready %v; want 1, true", down, b.Ready())
 		}
-		b.list(true, one, two) // discovery says nothing of it
+		b.list(true, one, two) // the list still has both servers as ready
 		if n := attempts(20); n == 0 {
-			t.Error("no attempts")
+			t.Error("no attempt at the server that is not ejected")
 		}
 		if n := b.servers[8].pending; n != 0 {
-			t.Errorf("%d attempts at the server that is ejected", n)
+			t.Errorf("%d attempts at the ejected server, want none", n)
 		}
 		if !slices.Equal(w.listed, []string{"a", "b"}) {
-			t.Errorf("%v listed: what is ejected counts as listed", w.listed)
+			t.Errorf("servers reported as listed: %v, want a and b, since ejected servers count as listed", w.listed)
 		}
 		eject()
 		if _, down := b.ServerCounts(); down != 0 || b.servers[8].member.Since != one.Since {
-			t.Errorf("%d down; it was not started anew", down)
+			t.Errorf("unavailable %d after the ejection, want 0, and an unchanged start time", down)
 		}
 		eject("a", "b")
 		if _, down := b.ServerCounts(); down != 0 || !b.Ready() {
-			t.Errorf("down %d, ready %v: nothing else is ready", down, b.Ready())
+			t.Errorf("unavailable %d, ready %v with all servers ejected; want 0, true", down, b.Ready())
 		}
-		// Another sidecar has reported that it drains: it gets nothing new, whatever the list says, for a minute or until a later
-		// start of it is listed; of another start nothing is meant.
+		// A server that another sidecar reports to drain must get no new attempt, whatever the list says, until the report
+		// expires or a later start of the server is listed. A report about another start must have no effect.
 		for _, since := range []time.Duration{5, one.Since} {
 			b.ReportDrain("a", since, true)
 			synctest.Wait()
 			b.list(true, one, two)
 			if _, down := b.ServerCounts(); (down == 1) != (since == one.Since) {
-				t.Errorf("%d down with one draining since %v", down, since)
+				t.Errorf("unavailable %d after a drain report for start time %v", down, since)
 			}
 		}
 		later := one
 		later.Since = b.now()
 		b.list(false, later)
 		if _, down := b.ServerCounts(); down != 0 {
-			t.Error("the one that started later drains")
+			t.Error("a drain report applies to a later start of the server")
 		}
 		b.list(false, one)
 		time.Sleep(drainReportTTL + time.Second)
 		synctest.Wait()
 		if _, down := b.ServerCounts(); down != 0 || len(b.reportedDraining) != 0 {
-			t.Errorf("%d down after a minute, %d kept", down, len(b.reportedDraining))
+			t.Errorf("unavailable %d, %d drain reports kept after their expiry; want none", down, len(b.reportedDraining))
 		}
-		// What its own list says is passed on; a gap in it is not.
+		// Drains in the sidecar's own list must be reported to the observer; a server missing from a list must not.
 		two.State = logic.Draining
 		b.list(false, two)
 		b.list(true, one)
@@ -239,14 +239,14 @@
 		two.State = logic.Ready
 		b.list(false, two)
 		if want := []string{"b0s true", "b0s false", "b0s true", "b0s false"}; !slices.Equal(w.drains, want) {
-			t.Errorf("%q reported, not %q", w.drains, want)
+			t.Errorf("drains reported: %q, want %q", w.drains, want)
 		}
 		eject("a")
 		two.State = logic.Draining
 		b.list(true, one, two)
 		synctest.Wait()
 		if _, down := b.ServerCounts(); down != 0 || !b.Ready() {
-			t.Errorf("the other one drains: down %d, ready %v", down, b.Ready())
+			t.Errorf("unavailable %d, ready %v with one server ejected and the other draining; want 0, true", down, b.Ready())
 		}
 	})
 }
--- a/internal/sidecar/relay/relay_test.go
+++ b/internal/sidecar/relay/relay_test.go
@@ -14,17 +14,18 @@
 	"fieldrelay/internal/sidecar/logic"
 )
 
-// bench stands in for the listener, the servers and the list, and writes down what they receive.
+// bench is a relay with fake servers and a fake list. It records the calls that these receive and the answers.
 type bench struct {
 	*Relay
 	gate      *budget.Gate
 	lines     []string
 	submitted uint64
 	report    func(AttemptID, Result)
-	attempts  map[uint64]Attempt // the last one of each request
+	attempts  map[uint64]Attempt // last attempt of each request
 }
 
-// newBench starts a relay of these settings, with an observer where there is one, until the test ends. It is called in a bubble.
+// newBench starts a relay with these settings, and with observer o unless that is nil, until the test ends. It must be called
+// within a synctest bubble.
 func newBench(t *testing.T, cfg logic.Config, seed uint64, o Observer) *bench {
 	t.Helper()
 	b := &bench{attempts: map[uint64]Attempt{}, gate: budget.NewGate(1<<24, 1)}
@@ -66,7 +67,7 @@
 func (n *benchServer) Update(m Member)     { n.b.note("server %d state %d", n.id, m.State) }
 func (n *benchServer) Close()              { n.b.note("server %d closed", n.id) }
 
-// submit gives the relay a request whose client waits for a second.
+// submit submits a request whose client waits for one second, and returns its id.
 func (b *bench) submit(class string) uint64 {
 	b.submitted++
 	id := b.submitted
@@ -112,16 +113,17 @@
 			b.outcome(id, logic.Refused, "")
 			b.outcome(id, logic.Done, "hi")
 		}, "attempt 1.0 at 8 for 1s, attempt 1.1 at 8 for 1s, answer 1 served hi"},
-		"a request that the module does not know of fails at once": {func(b *bench) {
+		"a request of an unknown class fails at once": {func(b *bench) {
 			b.submit("odd")
 		}, "answer 1 failed"},
-		// A late answer crosses the end of the time: one answer, and the attempt is still reported to the module.
-		"the end of the time and an answer cross": {func(b *bench) {
+		// An answer arrives after the request has expired: the client gets one answer only, and the attempt is still
+		// reported to the module.
+		"expiry races with an answer": {func(b *bench) {
 			id := b.submit("safe")
 			time.Sleep(time.Second)
 			b.outcome(id, logic.Done, "late")
 		}, "attempt 1.0 at 8 for 1s, answer 1 rejected, cancel 1.0"},
-		"a withdrawal and an answer cross": {func(b *bench) {
+		"withdrawal races with an answer": {func(b *bench) {
 			id := b.submit("safe")
 			b.Withdraw(id)
 			b.outcome(id, logic.Done, "late")
@@ -131,13 +133,14 @@
 			b.submit("unsafe")
 			time.Sleep(time.Second)
 		}, "attempt 1.0 at 8 for 1s, answer 1 failed, cancel 1.0"},
-		"a server that a whole list leaves out is gone, and closed once nothing is out": {func(b *bench) {
+		"a server missing from a complete list is closed once no attempt is pending": {func(b *bench) {
 			id := b.submit("safe")
 			b.list(true, member(9))
 			b.outcome(id, logic.Done, "hi")
 		}, "attempt 1.0 at 8 for 1s, server 8 state 2, answer 1 served hi, server 8 closed"},
-		// Under the id of an open request a second copy of that would be out, and one of its answers go to another.
-		"a request under the id of another": {func(b *bench) {
+		// Servers would take a request that reuses the call id of an open one for a second copy of it, and its client could
+		// get the answer of the other request.
+		"a request that reuses a call id": {func(b *bench) {
 			id := b.submit("safe")
 			b.submitAs(2, "call1", "safe")
 			b.outcome(id, logic.Done, "hi")
@@ -146,11 +149,11 @@
 			synctest.Wait()
 			b.submitAs(4, "call1", "odd")
 		}, "attempt 1.0 at 8 for 1s, answer 2 duplicate, answer 1 served hi, answer 3 duplicate, answer 4 failed"},
-		"a lost list is asked for again": {func(b *bench) {
+		"a lost list is requested again": {func(b *bench) {
 			b.ListLost(time.Time{})
 			time.Sleep(time.Second)
 		}, "watch"},
-		// A panic in the module costs its open requests, not the process; the next request is served.
+		// A panic in the module fails the open requests only; the process goes on and serves the next request.
 		"a panic of the module": {func(b *bench) {
 			b.submit("safe")
 			b.mailbox.Put(func() { b.balancer = &logic.Balancer{} })
@@ -183,18 +186,18 @@
 					t.Errorf("received (-want +got):\n%s", diff)
 				}
 				if held := b.gate.State().Sum(); held != int64(len(b.requests)) {
-					t.Errorf("%d bytes held for %d requests", held, len(b.requests))
+					t.Errorf("%d bytes charged to the budget for %d requests", held, len(b.requests))
 				}
 				if len(b.requests) != 0 && !strings.HasPrefix(name, "an unsafe") {
-					t.Errorf("%d requests are kept", len(b.requests))
+					t.Errorf("%d requests remain in the relay, want none", len(b.requests))
 				}
 			})
 		})
 	}
 }
 
-// The module's times compare with those in the list, and a wake-up never comes early: woken before its time, it
-// would drop the wake-up and hold the request past its end.
+// The module's clock must be Unix time, so that its times can be compared with those in the list. A wake-up must never come
+// early: the module would ignore it and keep the request past its expiry.
 func TestClockIsUnixTimeAndWakesAreNotEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &bench{}
@@ -216,8 +219,8 @@
 	})
 }
 
-// A request is wanted until its final answer or its client's leaving, and that is told to whoever still holds an attempt of it,
-// also where the module may not call attempts off.
+// Payload.Wanted must return false once the request has its final answer or its client has left, even if the module may not
+// cancel attempts: otherwise a waiting transport would still send an attempt.
 func TestAnEndedRequestIsNotWanted(t *testing.T) {
 	for name, end := range map[string]func(b *bench, job uint64){
 		"withdrawn": func(b *bench, job uint64) { b.Withdraw(job) },
@@ -234,11 +237,11 @@
 				end(b, job)
 				synctest.Wait()
 				if after := request.Wanted(); !before || after {
-					t.Errorf("wanted before %t, after %t", before, after)
+					t.Errorf("Wanted before the end of the request: %t, want true; after it: %t, want false", before, after)
 				}
 				gone := Payload{ClientGone: func() bool { return true }}
 				if gone.Wanted() {
-					t.Error("wanted though its client has gone")
+					t.Error("Wanted is true for a request whose client has gone")
 				}
 			})
 		})
