--- a/internal/sidecar/relay/differential_test.go
+++ b/internal/sidecar/relay/differential_test.go
@@ -34,17 +34,17 @@
 			case k < 9 && len(open) > 0:
 				at := rng.IntN(len(open))
 				id := open[at]
-				out, there := false, false
+				pending, exists := false, false
 				b.on(func() {
 					if j := b.requests[id]; j != nil {
-						_, out = j.pending[b.attempts[id].ID.Attempt]
+						_, pending = j.pending[b.attempts[id].ID.Attempt]
 					}
 				})
-				if out {
+				if pending {
 					b.outcome(id, []logic.Outcome{logic.Done, logic.Done, logic.Errored, logic.Busy, logic.Refused, logic.Reset}[rng.IntN(6)], "x")
 				}
-				b.on(func() { there = b.requests[id] != nil })
-				if !there {
+				b.on(func() { exists = b.requests[id] != nil })
+				if !exists {
 					open = slices.Delete(open, at, at+1)
 				}
 			default:
@@ -64,18 +64,18 @@
 
 // A relay without an observer and one whose observer admits every attempt must make the same decisions, event by event.
 func TestSameDecisionsWithoutAFleet(t *testing.T) {
-	claims := 0
+	compared := 0
 	for seed := range uint64(20) {
 		alone, observed := script(t, seed, nil), script(t, seed, &recordingObserver{outcomes: map[string]int{}})
 		if !slices.Equal(alone, observed) {
 			t.Fatalf("seed %d:\n%q\n%q", seed, alone, observed)
 		}
-		claims += len(alone)
+		compared += len(alone)
 	}
-	if claims < 4000 {
-		t.Errorf("%d lines compared, want at least 4000", claims)
+	if compared < 4000 {
+		t.Errorf("%d lines compared, want at least 4000", compared)
 	}
-	t.Logf("%d lines compared", claims)
+	t.Logf("%d lines compared", compared)
 	// Counter-check: an observer that rejects attempts must make a difference.
 	if slices.Equal(script(t, 3, nil), script(t, 3, &recordingObserver{outcomes: map[string]int{}, rejecting: true})) {
 		t.Error("an observer that rejects all attempts makes no difference")
--- a/internal/sidecar/relay/server.go
+++ b/internal/sidecar/relay/server.go
@@ -88,7 +88,7 @@
 		ev.Servers = append(ev.Servers, r.effective(m).Server)
 	}
 	if l.Complete {
-		r.markOthersRemoved(listed)
+		r.markUnlistedRemoved(listed)
 	}
 	r.notifyListed()
 	r.step(&ev)
@@ -114,9 +114,9 @@
 	}
 }
 
-// markOthersRemoved marks the servers missing from a complete list as gone. The module does the same for its own
+// markUnlistedRemoved marks the servers missing from a complete list as gone. The module does the same for its own
 // state.
-func (r *Relay) markOthersRemoved(listed map[uint64]bool) {
+func (r *Relay) markUnlistedRemoved(listed map[uint64]bool) {
 	for id, s := range r.servers {
 		if !listed[id] {
 			gone := s.member
