--- a/internal/sidecar/transport/http/attempt.go
+++ b/internal/sidecar/transport/http/attempt.go
@@ -18,8 +18,8 @@
 type attempt struct {
 	relay.Attempt
 	conn       *conn              // nil while it is queued
-	cancelDial context.CancelFunc // of the dial that was begun for it; nil: none
-	timer      *time.Timer        // of its deadline
+	cancelDial context.CancelFunc // cancels the dial that was begun for the attempt; nil: no dial
+	timer      *time.Timer        // fires at the deadline
 }
 
 // accept begins an attempt.
@@ -32,8 +32,8 @@
 	s.assign(a)
 }
 
-// assign gives an attempt a settled connection or, if there is none, dials one for it. The attempt gets whichever comes
-// first, that connection or another one that settles meanwhile, so that a slow dial delays nothing by itself.
+// assign gives an attempt an idle connection or, if none can be used, dials one for it. The attempt is written to the dialed
+// connection or to another one that becomes available, whichever comes first, so that a slow dial alone does not delay it.
 func (s *server) assign(a *attempt) {
 	s.queue = append(s.queue, a)
 	s.dispatch()
@@ -44,12 +44,12 @@
 
 func (s *server) isQueued(a *attempt) bool { return slices.Contains(s.queue, a) }
 
-// dequeue removes an attempt from the queue, if it is in it.
+// dequeue removes an attempt from the queue; it does nothing if the attempt is not queued.
 func (s *server) dequeue(a *attempt) {
 	s.queue = slices.DeleteFunc(s.queue, func(o *attempt) bool { return o == a })
 }
 
-// dispatch gives the settled connections to the queued attempts, the oldest first.
+// dispatch assigns idle connections to the queued attempts, the oldest attempt first.
 func (s *server) dispatch() {
 	for len(s.queue) > 0 {
 		conn := s.takeIdle()
@@ -57,7 +57,7 @@
 			s.scheduleDispatch()
 			return
 		}
-		// Its end may be on its way in the mailbox: a request written now would be lost for nothing.
+		// The message that the connection has ended may still be in the mailbox: a request written now would be lost.
 		if !conn.usable() {
 			s.closeConn(conn)
 			continue
@@ -66,7 +66,7 @@
 	}
 }
 
-// scheduleDispatch dispatches again when the next connection has settled.
+// scheduleDispatch sets a timer that calls dispatch when the next idle connection has settled.
 func (s *server) scheduleDispatch() {
 	if len(s.idle) == 0 || s.settleTimer != nil {
 		return
@@ -87,7 +87,7 @@
 	now := time.Now()
 	until := s.sendDeadline(a)
 	parts := net.Buffers{encodeHead(a, s.member.Addr, now), a.Payload.Body}
-	// An attempt that is abandoned meanwhile, and with it its request, may be forgotten while its bytes are still in use.
+	// The attempt may be abandoned and its request forgotten while this write still uses the payload.
 	charge := a.Payload.Charge
 	charge.Hold()
 	go func() {
@@ -100,7 +100,8 @@
 	}()
 }
 
-// sendDeadline is when the first byte of an attempt must have been written: its own bounds, and the grace of a drain.
+// sendDeadline returns the time by which the first byte of an attempt must have been written: the earliest of its deadline, its
+// SendBefore and the end of the server's drain grace.
 func (s *server) sendDeadline(a *attempt) time.Time {
 	until := a.Deadline
 	if !a.SendBefore.IsZero() && a.SendBefore.Before(until) {
@@ -116,7 +117,7 @@
 	return until
 }
 
-// onWritten handles the end of a write. What broke before its last byte was written never ran.
+// onWritten handles the end of a write. A request whose write failed before its last byte was never executed.
 func (s *server) onWritten(conn *conn, err error) {
 	conn.writing = false
 	if conn.earlyAnswer != nil {
@@ -149,42 +150,42 @@
 func (s *server) onAnswer(conn *conn, got answer) {
 	a := conn.attempt
 	switch {
-	case a == nil: // nothing was asked
+	case a == nil: // no attempt is waiting for an answer
 		got.charge.Release()
 		s.closeConn(conn)
 		return
 	case conn.writing:
-		// A quick answer can overtake the message that its request is written. Handled at once, it left the connection
-		// unfit for the next attempt, which had to open another.
+		// A quick answer can arrive before the message that its request is written. If it were handled at once, the
+		// connection could not carry the next attempt, which would have to open another one.
 		conn.earlyAnswer = &got
 		return
 	case got.last:
 		s.closeConn(conn)
 	default:
-		conn.answered, conn.attempt, a.conn = true, nil, nil // kept idle, it may carry another attempt at once
+		conn.answered, conn.attempt, a.conn = true, nil, nil // keepIdle may assign another attempt at once
 		s.keepIdle(conn, time.Now())
 	}
 	s.complete(a, got.outcome, relay.Result{At: got.at, Body: got.body, ContentType: got.contentType, Charge: got.charge})
 }
 
-// onEnded handles that nothing more will be read from a connection.
+// onEnded handles the end of a connection's reader.
 func (s *server) onEnded(conn *conn) {
 	conn.ended = true
 	s.closeConn(conn)
-	if !conn.writing { // else the end of the write says whether the request was written whole
+	if !conn.writing { // otherwise onWritten decides by whether the request was written completely
 		s.failAttempt(conn, logic.Reset)
 	}
 }
 
-// failAttempt completes the attempt of a connection that ended without an answer.
+// failAttempt completes the attempt, if any, of a connection that ended without an answer.
 func (s *server) failAttempt(conn *conn, outcome logic.Outcome) {
 	if a := conn.attempt; a != nil {
 		s.complete(a, outcome, relay.Result{})
 	}
 }
 
-// abandon ends an attempt that is canceled or timed out. Its connection is closed before it is reported, so that no other
-// attempt of its request can be in flight while this one is.
+// abandon ends an attempt that is canceled or timed out. It closes the attempt's connection before it reports the attempt, so
+// that no other attempt of the same request can be in flight together with this one.
 func (s *server) abandon(id relay.AttemptID, outcome logic.Outcome) {
 	a := s.attempts[id]
 	if a == nil {
@@ -199,13 +200,13 @@
 	} else if a.cancelDial != nil {
 		a.cancelDial()
 		if outcome == logic.TimedOut {
-			outcome = logic.Skipped // nothing of it was sent
+			outcome = logic.Skipped // no byte of the attempt was sent
 		}
 	}
 	s.complete(a, outcome, relay.Result{})
 }
 
-// complete reports an attempt.
+// complete forgets an attempt and reports its result.
 func (s *server) complete(a *attempt, outcome logic.Outcome, res relay.Result) {
 	a.timer.Stop()
 	if a.conn != nil {
@@ -220,7 +221,7 @@
 	s.report(a.ID, res)
 }
 
-// encodeHead encodes the head of an attempt's request. The body is written from where it is stored.
+// encodeHead encodes the head of an attempt's request. The body is written separately, without a copy.
 func encodeHead(a *attempt, host string, now time.Time) []byte {
 	var h fasthttp.RequestHeader
 	h.SetMethod(a.Payload.Method)
--- a/internal/sidecar/transport/http/digests.go
+++ b/internal/sidecar/transport/http/digests.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// minDistinct is how many successive answers have to differ before that is relied on.
+// minDistinct is the number of successive answers that must differ before answers are assumed to be distinct.
 const minDistinct = 16
 
-// answerDigests are the digests of the last served answers, of all servers together since their answers are of one kind. It
-// is safe for concurrent use.
+// answerDigests holds the digests of the last served answers of all servers, which are expected to give answers of one kind.
+// It is safe for concurrent use.
 type answerDigests struct {
 	mu       sync.Mutex
 	last     []uint64
-	repeated bool // two were equal, now or ever
+	repeated bool // set for good once two digests were equal
 }
 
 func (d *answerDigests) add(digest uint64) {
@@ -32,7 +32,7 @@
 	d.last = append(d.last, digest)
 }
 
-// differ reports whether answers have all differed so far, and there were enough of them.
+// differ reports whether all answers so far were distinct and there were at least minDistinct of them.
 func (d *answerDigests) differ() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/sidecar/transport/http/pool.go
+++ b/internal/sidecar/transport/http/pool.go
@@ -10,13 +10,13 @@
 	"fieldrelay/internal/sidecar/relay"
 )
 
-// minIdleTime is how long a connection must have been idle to be closed because bytes are short: one that the next attempt
-// is likely to need would only have to be opened again, at the server's cost.
+// minIdleTime is how long a connection must have been idle before it is closed to free memory. A connection that the next
+// attempt is likely to need would only have to be opened again, which costs the server a handshake.
 const minIdleTime = time.Second
 
-// takeIdle takes an idle connection: of the settled ones the one used last, so that the others can expire; if none is
-// settled, the one idle for longest, provided that a copy of its last answer would be recognized. It returns nil if there
-// is none.
+// takeIdle removes an idle connection from the pool and returns it. It prefers the most recently used settled connection, so
+// that the others can expire. If none has settled, it takes the one that has been idle for longest, provided that a second
+// copy of its last answer would be recognized. It returns nil if no connection qualifies.
 func (s *server) takeIdle() *conn {
 	i, now := len(s.idle)-1, time.Now()
 	settling := func(i int) bool {
@@ -35,16 +35,16 @@
 	return conn
 }
 
-// dial opens a connection for a queued attempt. Without a place for one more the attempt is skipped.
+// dial opens a connection for a queued attempt. The attempt is skipped if MaxConns connections are open.
 func (s *server) dial(a *attempt) {
 	options := &s.transport.options
-	// An idle connection that has not settled gives its place to the new one.
+	// Any idle connection left has not settled: it is closed to make room for the new connection.
 	if len(s.idle) > 0 && s.transport.conns.Load() >= int64(options.MaxConns) {
 		s.closeConn(s.idle[0])
 	}
 	if s.transport.conns.Add(1) > int64(options.MaxConns) {
 		s.transport.conns.Add(-1)
-		s.log.Warn().Int("max_conns", options.MaxConns).Msg("attempt skipped: too many connections")
+		s.log.Warn().Int("max_conns", options.MaxConns).Msg("attempt skipped: the maximum number of connections is open")
 		s.complete(a, logic.Skipped, relay.Result{})
 		return
 	}
@@ -59,14 +59,14 @@
 	}()
 }
 
-// onDialed handles the end of a dial that was begun for an attempt.
+// onDialed handles the result of a dial that was begun for an attempt.
 func (s *server) onDialed(a *attempt, addr string, nc net.Conn, err error) {
 	s.dials--
 	if err != nil {
 		s.transport.conns.Add(-1)
 		defer s.endIfClosed()
 		if s.isQueued(a) {
-			s.log.Debug().Err(err).Msg("connection failed")
+			s.log.Debug().Err(err).Msg("dialing the server failed")
 			s.complete(a, logic.Refused, relay.Result{})
 		}
 		return
@@ -85,14 +85,14 @@
 		}
 	case conn.usable():
 		s.write(a, conn)
-	default: // a server that sends before it is asked
+	default: // the server has sent bytes before any request, or has closed the connection
 		s.closeConn(conn)
 		s.complete(a, logic.Refused, relay.Result{})
 	}
 }
 
-// keepIdle keeps a connection for the next attempt, until safely before the server closes it. That counts from the last
-// answer on it, since, also if an attempt was assigned meanwhile and not sent.
+// keepIdle returns a connection to the pool until shortly before the server would close it. Its idle time counts from since,
+// the time of its last answer, even if an attempt was assigned to it afterwards and not sent.
 func (s *server) keepIdle(conn *conn, since time.Time) {
 	if !s.conns[conn] {
 		return
@@ -114,7 +114,7 @@
 	var timer *time.Timer
 	timer = time.AfterFunc(time.Until(expires), func() {
 		s.mailbox.Put(func() {
-			if conn.idleTimer == timer { // it has not been used since
+			if conn.idleTimer == timer { // the connection has not been used since
 				s.closeConn(conn)
 			}
 		})
@@ -123,7 +123,7 @@
 	s.dispatch()
 }
 
-// idleAfter selects connections that became idle after a time.
+// idleAfter returns a predicate that selects connections which became idle after t.
 func idleAfter(t time.Time) func(*conn) bool {
 	return func(c *conn) bool { return c.idleSince.After(t) }
 }
@@ -141,7 +141,7 @@
 	}
 }
 
-// closeConn closes a connection, which ends its reader. For one that is closed already it does nothing.
+// closeConn closes a connection, which ends its reader. It does nothing if the connection is closed already.
 func (s *server) closeConn(conn *conn) {
 	if !s.conns[conn] {
 		return
--- a/internal/sidecar/transport/http/reader.go
+++ b/internal/sidecar/transport/http/reader.go
@@ -17,39 +17,39 @@
 )
 
 const (
-	// answerTimeout bounds an answer from its first byte: one that does not end is as bad as none, and costs the request
-	// the time for another attempt.
+	// answerTimeout bounds the arrival of an answer from its first byte. An answer that never ends is as useless as none,
+	// and waiting for it would leave the request no time for another attempt.
 	answerTimeout = 400 * time.Millisecond
-	// maxInterim is how many 1xx responses may precede an answer.
+	// maxInterim is the number of 1xx responses that may precede an answer.
 	maxInterim = 16
-	// maxBytesWait bounds the wait of an answer for its bytes. As a rule the attempt's deadline ends it before.
+	// maxBytesWait bounds how long an answer waits for the byte budget. Usually the attempt's deadline ends the wait earlier.
 	maxBytesWait = 10 * time.Second
-	// initialBodyBytes is the first charge for a body in chunks, and bodyGrowth the factor of the next ones.
+	// initialBodyBytes is the first charge for a chunked body, and bodyGrowth the factor of each later charge.
 	initialBodyBytes = 4 << 10
 	bodyGrowth       = 4
 )
 
-// errMalformed is the error of a response that cannot be an answer.
-var errMalformed = errors.New("not an answer")
+// errMalformed is the error of a response that is not a valid answer.
+var errMalformed = errors.New("malformed HTTP response")
 
-// answer is what a connection brought for an attempt.
+// answer is the answer to an attempt as read from a connection.
 type answer struct {
 	outcome     logic.Outcome
 	body        []byte
 	contentType string
-	charge      *budget.Charge // for the body
+	charge      *budget.Charge // charge for the body
 	last        bool           // the connection cannot be used again
-	at          time.Time
+	at          time.Time      // time at which the answer was read completely
 }
 
-// read passes each answer to the server's actor, until the connection ends or cannot be used again. It always reads, so
-// that the end of an idle connection is noticed at once. No read outlasts the attempt's deadline or the idle time, since at
-// either the actor closes the connection.
+// read passes each answer to the server's actor, until the connection ends or cannot be used again. It also waits on idle
+// connections, so that their end is noticed at once. No read outlasts the attempt's deadline or the idle time, since the
+// actor closes the connection at either.
 func (c *conn) read() {
 	defer c.connCharge.Release()
 	br := bufio.NewReader(c)
 	for last := false; !last; {
-		// Unrequested bytes are left unread, where usable sees them.
+		// Unrequested bytes stay unread in the socket, so that usable can detect them.
 		if err := socket.Readable(c.nc); err != nil || !c.isAwaiting() {
 			break
 		}
@@ -68,7 +68,7 @@
 }
 
 // errDuplicate is the error of a second copy of an answer.
-var errDuplicate = errors.New("second copy of an answer")
+var errDuplicate = errors.New("response duplicates the previous response on the connection")
 
 // readNext reads the next answer.
 func (c *conn) readNext(br *bufio.Reader) (answer, error) {
@@ -89,17 +89,18 @@
 		c.bounded = false
 		c.setReadDeadline(time.Time{})
 	}
-	a.last = a.last || br.Buffered() > 0 // bytes behind an answer were not requested
+	a.last = a.last || br.Buffered() > 0 // bytes that follow an answer were not requested
 	a.at = time.Now()
 	return a, nil
 }
 
-// setReadDeadline sets a deadline. Its error is left to the next read, which fails on a closed connection.
+// setReadDeadline sets a read deadline. It ignores the error: on a closed connection the next read fails.
 func (c *conn) setReadDeadline(t time.Time) { _ = c.nc.SetReadDeadline(t) }
 
-// isDuplicate reports whether a served answer is, byte for byte, the one before on this connection, which had not settled
-// in between: a late second copy, since answers differ. Rejections are alike as a rule: the second of two equal ones may be
-// a copy of the first, and so it is taken to prove nothing.
+// isDuplicate reports whether a served answer equals the previous answer on this connection byte for byte, and the connection
+// had not settled in between. Since answers differ, that is a late second copy. Rejections are usually equal, so the second
+// of two equal ones may be a copy of the first: it does not prove that its request never ran, and isDuplicate changes its
+// outcome to Errored.
 func (c *conn) isDuplicate(a *answer) bool {
 	previous := c.lastDigest
 	c.lastDigest = a.digest()
@@ -124,7 +125,8 @@
 	return digest.Sum64()
 }
 
-// Read reads for the reader. Most answers arrive in one piece: a deadline is set only for one that does not.
+// Read implements io.Reader for the buffered reader. It sets a deadline only for an answer that needs more than one read,
+// since most answers arrive in one piece.
 func (c *conn) Read(p []byte) (int, error) {
 	if !c.answerBegan.IsZero() && !c.bounded {
 		c.bounded = true
@@ -133,8 +135,8 @@
 	return c.nc.Read(p)
 }
 
-// readAnswer reads one answer of bounded size. A body without a stated length, which ends only with its connection, is
-// malformed, since a whole one cannot be told from a part.
+// readAnswer reads one answer of bounded size. A body without a stated length, which ends with the connection, is malformed,
+// since a complete body cannot be distinguished from a truncated one.
 func (c *conn) readAnswer(br *bufio.Reader) (a answer, err error) {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
@@ -152,7 +154,7 @@
 	return a, nil
 }
 
-// readHead reads the head of an answer, past interim responses.
+// readHead reads the head of an answer and skips interim responses.
 func readHead(br *bufio.Reader, h *fasthttp.ResponseHeader) error {
 	for interim := 0; ; interim++ {
 		if err := h.Read(br); err != nil {
@@ -167,8 +169,8 @@
 	}
 }
 
-// readBody reads the body of an answer. Only one that is passed on is stored; it is charged first, and while the budget has
-// no bytes it stays in the operating system.
+// readBody reads the body of an answer. Only the body of a served answer is stored. It is charged to the byte budget first, and
+// stays in the socket's receive buffer while the budget is exhausted.
 func (c *conn) readBody(br *bufio.Reader, h *fasthttp.ResponseHeader, a *answer) (err error) {
 	switch length := h.ContentLength(); {
 	case h.StatusCode() == fasthttp.StatusNoContent || h.StatusCode() == fasthttp.StatusNotModified:
@@ -185,7 +187,7 @@
 		a.body = make([]byte, length)
 		_, err = io.ReadFull(br, a.body)
 		return err
-	case length == -1: // in chunks
+	case length == -1: // chunked
 		if err = c.readChunks(br, a); err != nil {
 			return err
 		}
@@ -195,7 +197,7 @@
 	}
 }
 
-// readChunks reads a body in chunks, and raises the charge as it grows.
+// readChunks reads a chunked body and raises its charge as the body grows.
 func (c *conn) readChunks(br *bufio.Reader, a *answer) error {
 	chunks := httputil.NewChunkedReader(br)
 	if a.outcome != logic.Done {
@@ -219,7 +221,7 @@
 		case errors.Is(err, io.EOF):
 			return nil
 		case errors.Is(err, io.ErrUnexpectedEOF):
-			// The end of the body, or of the connection within it: only the first is repeated by another read.
+			// Either the body or the connection has ended: only the end of the body is reported again by another read.
 			if _, err = chunks.Read(make([]byte, 1)); errors.Is(err, io.EOF) {
 				return nil
 			}
@@ -232,8 +234,8 @@
 	}
 }
 
-// waitForBytes waits for the charge of an answer's body, as long as its connection is open: at the attempt's deadline the
-// actor closes it. The time that an answer may take counts anew from then.
+// waitForBytes waits until the byte budget grants the charge for an answer's body, or the connection is closed, as the actor
+// does at the attempt's deadline. After a long wait answerTimeout starts anew.
 func (c *conn) waitForBytes(bytes int64) (*budget.Charge, error) {
 	r := budget.Reservation{Kind: budget.Answers, Bytes: bytes}
 	charge, err := c.server.transport.options.Gate.Reserve(r, time.Now().Add(maxBytesWait), c.closed)
@@ -244,7 +246,8 @@
 	return charge, err
 }
 
-// outcomeOf is what an answer means. One that the protocol does not name may have run.
+// outcomeOf returns the outcome that an answer stands for. A request answered by a status that the protocol does not define may
+// have been executed.
 func outcomeOf(resp *fasthttp.Response) logic.Outcome {
 	switch code := resp.StatusCode(); {
 	case code == fasthttp.StatusOK:
--- a/internal/sidecar/transport/http/server.go
+++ b/internal/sidecar/transport/http/server.go
@@ -1,6 +1,6 @@
 // Package http sends attempts to servers over HTTP/1.1. Each server has an actor that owns its connections and
-// attempts and reports each attempt exactly once. Nothing is ever sent a second time: what follows an outcome is decided by
-// the module. It implements relay.Transport; the contract that it keeps is tested by package contract.
+// attempts and reports each attempt exactly once. The transport never retries: the decision module decides what follows an
+// outcome. The package implements relay.Transport, whose contract is tested by package contract.
 package http
 
 import (
@@ -21,35 +21,35 @@
 // Options are the settings of a transport.
 type Options struct {
 	DialTimeout time.Duration
-	// Dial opens a connection; nil: net.Dialer.
+	// Dial opens a connection. If it is nil, a net.Dialer is used.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 	// ConnIdle is the time after which a server closes an idle connection.
 	ConnIdle time.Duration
-	// DrainGrace is the time after which nothing may be sent to a server listed as draining or gone.
+	// DrainGrace is how long attempts may still be sent to a server after it is listed as draining or gone.
 	DrainGrace time.Duration
-	// GoneIsAdvisory: a server listed as gone may still be sent to.
+	// GoneIsAdvisory allows attempts at a server listed as gone.
 	GoneIsAdvisory bool
-	// SettleTime is how long a connection settles after an answer; in service, the constant of that name.
+	// SettleTime is how long a connection settles after an answer. Production uses the constant SettleTime.
 	SettleTime time.Duration
-	// MaxConns bounds the connections to all servers together.
+	// MaxConns bounds the total number of connections to all servers.
 	MaxConns int
-	// Gate is the byte budget; nil: bytes are not counted.
+	// Gate is the byte budget. If it is nil, bytes are not counted.
 	Gate *budget.Gate
-	// Metrics counts attempts written whole as BackendCalls; nil: none.
+	// Metrics counts attempts whose request was written completely as BackendCalls. It may be nil.
 	Metrics *metrics.Registry
 }
 
-// Margins before limits of the rules, for what lies between the last check and the wire.
+// Safety margins before time limits, for the delay between the last check and the first byte on the wire.
 const (
-	idleMargin  = 0.1 // of ConnIdle
-	drainMargin = 0.2 // of DrainGrace
+	idleMargin  = 0.1 // fraction of ConnIdle
+	drainMargin = 0.2 // fraction of DrainGrace
 )
 
-// SettleTime is how long a connection settles after an answer before it is used again. What a server sends behind an answer
-// (its end, or a second copy of the answer) arrives some milliseconds later and does not say what it belongs to: on a
-// connection that carries the next attempt by then it would be taken for that one's answer. A connection that has not
-// settled is used if there is no other, since one more costs the server a handshake, but only while a copy would be
-// recognized, because answers all differ.
+// SettleTime is how long a connection settles after an answer before it is used again. A close or a second copy of the answer
+// that the server sends afterwards arrives some milliseconds later and does not say which attempt it belongs to: on a
+// connection that already carries the next attempt, a copy would be taken for the answer to that attempt. A connection that
+// has not settled is used if there is no other, since a new connection costs the server a handshake, but only while all
+// answers have differed, so that a copy would be recognized.
 const SettleTime = 50 * time.Millisecond
 
 // Transport connects to servers and counts the connections to all of them.
@@ -74,7 +74,7 @@
 func (t *Transport) Open(m relay.Member, report func(relay.AttemptID, relay.Result)) relay.Server {
 	s := &server{transport: t, log: t.log.With().Str("server", m.Addr).Logger(), report: report,
 		mailbox: mailbox.New(), attempts: map[relay.AttemptID]*attempt{}, conns: map[*conn]bool{}}
-	s.Update(m) // like any later entry: the server may be draining already
+	s.Update(m) // the server may be draining already
 	go s.mailbox.Run()
 	return s
 }
@@ -87,17 +87,17 @@
 	mailbox   *mailbox.Mailbox
 
 	member        relay.Member
-	excludedSince time.Time // when the list said that nothing more may be sent; zero: it may
+	excludedSince time.Time // time at which the list excluded the server from new attempts; zero: not excluded
 	attempts      map[relay.AttemptID]*attempt
-	queue         []*attempt // of those, the ones without a connection, the oldest first
+	queue         []*attempt // attempts without a connection, the oldest first
 	conns         map[*conn]bool
-	idle          []*conn     // of those, the ones without an attempt, in the order of their last use
-	settleTimer   *time.Timer // dispatches when an idle connection has settled; nil: not set
-	dials         int         // under way
+	idle          []*conn     // connections without an attempt, the least recently used first
+	settleTimer   *time.Timer // calls dispatch when an idle connection has settled; nil: not set
+	dials         int         // number of dials in progress
 	closed        bool
 }
 
-// The methods of relay.Server are messages to the actor.
+// The methods of relay.Server send messages to the actor.
 
 func (s *server) Start(a relay.Attempt) { s.mailbox.Put(func() { s.accept(a) }) }
 
@@ -119,16 +119,16 @@
 	})
 }
 
-// endIfClosed ends the actor once no connection is left and none is being dialed: one that opened afterwards would never be
-// closed.
+// endIfClosed ends the actor of a closed server once it has no connection and no dial in progress. If the actor ended during
+// a dial, the resulting connection would never be closed.
 func (s *server) endIfClosed() {
 	if s.closed && s.dials == 0 && len(s.conns) == 0 {
 		s.mailbox.Close()
 	}
 }
 
-// applyUpdate takes over a changed entry of the list. Connections to an earlier address, and those to a server that may not
-// be sent to, are closed as soon as they are idle.
+// applyUpdate applies a changed entry of the list. Connections to a previous address and connections to an excluded server are
+// closed as soon as they are idle.
 func (s *server) applyUpdate(m relay.Member) {
 	moved := m.Addr != s.member.Addr && m.Addr != ""
 	switch {
