--- a/internal/sidecar/transport/http/attempt.go
+++ b/internal/sidecar/transport/http/attempt.go
@@ -32,8 +32,9 @@
 	s.assign(a)
 }
 
-// assign gives an attempt an idle connection or, if none can be used, dials one for it. The attempt is written to the dialed
-// connection or to another one that becomes available, whichever comes first, so that a slow dial alone does not delay it.
+// assign gives an attempt an idle connection or, if none can be used, dials one for it. The attempt is written to the
+// dialed connection or to another one that becomes available, whichever comes first, so that a slow dial alone does not
+// delay it.
 func (s *server) assign(a *attempt) {
 	s.queue = append(s.queue, a)
 	s.dispatch()
@@ -100,8 +101,8 @@
 	}()
 }
 
-// sendDeadline returns the time by which the first byte of an attempt must have been written: the earliest of its deadline, its
-// SendBefore and the end of the server's drain grace.
+// sendDeadline returns the time by which the first byte of an attempt must have been written: the earliest of its
+// deadline, its SendBefore and the end of the server's drain grace.
 func (s *server) sendDeadline(a *attempt) time.Time {
 	until := a.Deadline
 	if !a.SendBefore.IsZero() && a.SendBefore.Before(until) {
@@ -184,8 +185,8 @@
 	}
 }
 
-// abandon ends an attempt that is canceled or timed out. It closes the attempt's connection before it reports the attempt, so
-// that no other attempt of the same request can be in flight together with this one.
+// abandon ends an attempt that is canceled or timed out. It closes the attempt's connection before it reports the
+// attempt, so that no other attempt of the same request can be in flight together with this one.
 func (s *server) abandon(id relay.AttemptID, outcome logic.Outcome) {
 	a := s.attempts[id]
 	if a == nil {
--- a/internal/sidecar/transport/http/conn.go
+++ b/internal/sidecar/transport/http/conn.go
@@ -24,9 +24,9 @@
 	broken     atomic.Bool    // nothing more can be read, or bytes arrived that belong to no attempt
 	unsettled  atomic.Bool    // the current attempt was assigned before the connection had settled
 
-	// awaiting is set while an attempt is being written or has been written and is not answered. The writer sets it only
-	// if no byte is unread, and the reader checks it before it reads from the socket. Bytes that arrived before an attempt
-	// are therefore never taken for its answer.
+	// awaiting is set while an attempt is being written or has been written and is not answered. The writer sets it
+	// only if no byte is unread, and the reader checks it before it reads from the socket. Bytes that arrived before an
+	// attempt are therefore never taken for its answer.
 	mu       sync.Mutex
 	awaiting bool
 
@@ -56,8 +56,8 @@
 	c.idleTimer = nil
 }
 
-// usable reports whether the connection can carry an attempt: it is not broken, and no byte has arrived since the last answer.
-// Such bytes, for example a second copy of that answer, would be taken for the answer to the attempt.
+// usable reports whether the connection can carry an attempt: it is not broken, and no byte has arrived since the last
+// answer. Such bytes, for example a second copy of that answer, would be taken for the answer to the attempt.
 func (c *conn) usable() bool { return !c.broken.Load() && !socket.Unread(c.nc) }
 
 // Errors of send if no byte of the attempt was written.
@@ -66,9 +66,10 @@
 	errConnStale = errors.New("connection has ended or carries unrequested bytes")
 )
 
-// send writes an attempt, or returns errExpired or errConnStale without having written a byte. It checks all conditions just
-// before the first byte, since any of them may have changed while the attempt was queued: until (the earliest of the
-// deadline, the send window and the drain grace), whether the request is still wanted, and whether the connection is usable.
+// send writes an attempt, or returns errExpired or errConnStale without having written a byte. It checks all conditions
+// just before the first byte, since any of them may have changed while the attempt was queued: until (the earliest of
+// the deadline, the send window and the drain grace), whether the request is still wanted, and whether the connection
+// is usable.
 func (c *conn) send(parts net.Buffers, a *attempt, until time.Time) error {
 	switch {
 	case !time.Now().Before(until) || !a.Payload.Wanted():
--- a/internal/sidecar/transport/http/digests.go
+++ b/internal/sidecar/transport/http/digests.go
@@ -8,8 +8,8 @@
 // minDistinct is the number of successive answers that must differ before answers are assumed to be distinct.
 const minDistinct = 16
 
-// answerDigests holds the digests of the last served answers of all servers, which are expected to give answers of one kind.
-// It is safe for concurrent use.
+// answerDigests holds the digests of the last served answers of all servers, which are expected to give answers of one
+// kind. It is safe for concurrent use.
 type answerDigests struct {
 	mu       sync.Mutex
 	last     []uint64
--- a/internal/sidecar/transport/http/pool.go
+++ b/internal/sidecar/transport/http/pool.go
@@ -10,13 +10,13 @@
 	"fieldrelay/internal/sidecar/relay"
 )
 
-// minIdleTime is how long a connection must have been idle before it is closed to free memory. A connection that the next
-// attempt is likely to need would only have to be opened again, which costs the server a handshake.
+// minIdleTime is how long a connection must have been idle before it is closed to free memory. A connection that the
+// next attempt is likely to need would only have to be opened again, which costs the server a handshake.
 const minIdleTime = time.Second
 
-// takeIdle removes an idle connection from the pool and returns it. It prefers the most recently used settled connection, so
-// that the others can expire. If none has settled, it takes the one that has been idle for longest, provided that a second
-// copy of its last answer would be recognized. It returns nil if no connection qualifies.
+// takeIdle removes an idle connection from the pool and returns it. It prefers the most recently used settled
+// connection, so that the others can expire. If none has settled, it takes the one that has been idle for longest,
+// provided that a second copy of its last answer would be recognized. It returns nil if no connection qualifies.
 func (s *server) takeIdle() *conn {
 	i, now := len(s.idle)-1, time.Now()
 	settling := func(i int) bool {
@@ -91,8 +91,8 @@
 	}
 }
 
-// keepIdle returns a connection to the pool until shortly before the server would close it. Its idle time counts from since,
-// the time of its last answer, even if an attempt was assigned to it afterwards and not sent.
+// keepIdle returns a connection to the pool until shortly before the server would close it. Its idle time counts from
+// since, the time of its last answer, even if an attempt was assigned to it afterwards and not sent.
 func (s *server) keepIdle(conn *conn, since time.Time) {
 	if !s.conns[conn] {
 		return
--- a/internal/sidecar/transport/http/reader.go
+++ b/internal/sidecar/transport/http/reader.go
@@ -17,12 +17,13 @@
 )
 
 const (
-	// answerTimeout bounds the arrival of an answer from its first byte. An answer that never ends is as useless as none,
-	// and waiting for it would leave the request no time for another attempt.
+	// answerTimeout bounds the arrival of an answer from its first byte. An answer that never ends is as useless as
+	// none, and waiting for it would leave the request no time for another attempt.
 	answerTimeout = 400 * time.Millisecond
 	// maxInterim is the number of 1xx responses that may precede an answer.
 	maxInterim = 16
-	// maxBytesWait bounds how long an answer waits for the byte budget. Usually the attempt's deadline ends the wait earlier.
+	// maxBytesWait bounds how long an answer waits for the byte budget. Usually the attempt's deadline ends the wait
+	// earlier.
 	maxBytesWait = 10 * time.Second
 	// initialBodyBytes is the first charge for a chunked body, and bodyGrowth the factor of each later charge.
 	initialBodyBytes = 4 << 10
@@ -42,9 +43,9 @@
 	at          time.Time      // time at which the answer was read completely
 }
 
-// read passes each answer to the server's actor, until the connection ends or cannot be used again. It also waits on idle
-// connections, so that their end is noticed at once. No read outlasts the attempt's deadline or the idle time, since the
-// actor closes the connection at either.
+// read passes each answer to the server's actor, until the connection ends or cannot be used again. It also waits on
+// idle connections, so that their end is noticed at once. No read outlasts the attempt's deadline or the idle time,
+// since the actor closes the connection at either.
 func (c *conn) read() {
 	defer c.connCharge.Release()
 	br := bufio.NewReader(c)
@@ -97,10 +98,10 @@
 // setReadDeadline sets a read deadline. It ignores the error: on a closed connection the next read fails.
 func (c *conn) setReadDeadline(t time.Time) { _ = c.nc.SetReadDeadline(t) }
 
-// isDuplicate reports whether a served answer equals the previous answer on this connection byte for byte, and the connection
-// had not settled in between. Since answers differ, that is a late second copy. Rejections are usually equal, so the second
-// of two equal ones may be a copy of the first: it does not prove that its request never ran, and isDuplicate changes its
-// outcome to Errored.
+// isDuplicate reports whether a served answer equals the previous answer on this connection byte for byte, and the
+// connection had not settled in between. Since answers differ, that is a late second copy. Rejections are usually
+// equal, so the second of two equal ones may be a copy of the first: it does not prove that its request never ran, and
+// isDuplicate changes its outcome to Errored.
 func (c *conn) isDuplicate(a *answer) bool {
 	previous := c.lastDigest
 	c.lastDigest = a.digest()
@@ -125,8 +126,8 @@
 	return digest.Sum64()
 }
 
-// Read implements io.Reader for the buffered reader. It sets a deadline only for an answer that needs more than one read,
-// since most answers arrive in one piece.
+// Read implements io.Reader for the buffered reader. It sets a deadline only for an answer that needs more than one
+// read, since most answers arrive in one piece.
 func (c *conn) Read(p []byte) (int, error) {
 	if !c.answerBegan.IsZero() && !c.bounded {
 		c.bounded = true
@@ -135,8 +136,8 @@
 	return c.nc.Read(p)
 }
 
-// readAnswer reads one answer of bounded size. A body without a stated length, which ends with the connection, is malformed,
-// since a complete body cannot be distinguished from a truncated one.
+// readAnswer reads one answer of bounded size. A body without a stated length, which ends with the connection, is
+// malformed, since a complete body cannot be distinguished from a truncated one.
 func (c *conn) readAnswer(br *bufio.Reader) (a answer, err error) {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
@@ -169,8 +170,8 @@
 	}
 }
 
-// readBody reads the body of an answer. Only the body of a served answer is stored. It is charged to the byte budget first, and
-// stays in the socket's receive buffer while the budget is exhausted.
+// readBody reads the body of an answer. Only the body of a served answer is stored. It is charged to the byte budget
+// first, and stays in the socket's receive buffer while the budget is exhausted.
 func (c *conn) readBody(br *bufio.Reader, h *fasthttp.ResponseHeader, a *answer) (err error) {
 	switch length := h.ContentLength(); {
 	case h.StatusCode() == fasthttp.StatusNoContent || h.StatusCode() == fasthttp.StatusNotModified:
@@ -234,8 +235,8 @@
 	}
 }
 
-// waitForBytes waits until the byte budget grants the charge for an answer's body, or the connection is closed, as the actor
-// does at the attempt's deadline. After a long wait answerTimeout starts anew.
+// waitForBytes waits until the byte budget grants the charge for an answer's body, or the connection is closed, as the
+// actor does at the attempt's deadline. After a long wait answerTimeout starts anew.
 func (c *conn) waitForBytes(bytes int64) (*budget.Charge, error) {
 	r := budget.Reservation{Kind: budget.Answers, Bytes: bytes}
 	charge, err := c.server.transport.options.Gate.Reserve(r, time.Now().Add(maxBytesWait), c.closed)
@@ -246,8 +247,8 @@
 	return charge, err
 }
 
-// outcomeOf returns the outcome that an answer stands for. A request answered by a status that the protocol does not define may
-// have been executed.
+// outcomeOf returns the outcome that an answer stands for. A request answered by a status that the protocol does not
+// define may have been executed.
 func outcomeOf(resp *fasthttp.Response) logic.Outcome {
 	switch code := resp.StatusCode(); {
 	case code == fasthttp.StatusOK:
--- a/internal/sidecar/transport/http/server.go
+++ b/internal/sidecar/transport/http/server.go
@@ -1,5 +1,5 @@
-// Package http sends attempts to servers over HTTP/1.1. Each server has an actor that owns its connections and
-// attempts and reports each attempt exactly once. The transport never retries: the decision module decides what follows an
+// Package http sends attempts to servers over HTTP/1.1. Each server has an actor that owns its connections and attempts
+// and reports each attempt exactly once. The transport never retries: the decision module decides what follows an
 // outcome. The package implements relay.Transport, whose contract is tested by package contract.
 package http
 
@@ -45,11 +45,11 @@
 	drainMargin = 0.2 // fraction of DrainGrace
 )
 
-// SettleTime is how long a connection settles after an answer before it is used again. A close or a second copy of the answer
-// that the server sends afterwards arrives some milliseconds later and does not say which attempt it belongs to: on a
-// connection that already carries the next attempt, a copy would be taken for the answer to that attempt. A connection that
-// has not settled is used if there is no other, since a new connection costs the server a handshake, but only while all
-// answers have differed, so that a copy would be recognized.
+// SettleTime is how long a connection settles after an answer before it is used again. A close or a second copy of the
+// answer that the server sends afterwards arrives some milliseconds later and does not say which attempt it belongs to:
+// on a connection that already carries the next attempt, a copy would be taken for the answer to that attempt. A
+// connection that has not settled is used if there is no other, since a new connection costs the server a handshake,
+// but only while all answers have differed, so that a copy would be recognized.
 const SettleTime = 50 * time.Millisecond
 
 // Transport connects to servers and counts the connections to all of them.
@@ -119,16 +119,16 @@
 	})
 }
 
-// endIfClosed ends the actor of a closed server once it has no connection and no dial in progress. If the actor ended during
-// a dial, the resulting connection would never be closed.
+// endIfClosed ends the actor of a closed server once it has no connection and no dial in progress. If the actor ended
+// during a dial, the resulting connection would never be closed.
 func (s *server) endIfClosed() {
 	if s.closed && s.dials == 0 && len(s.conns) == 0 {
 		s.mailbox.Close()
 	}
 }
 
-// applyUpdate applies a changed entry of the list. Connections to a previous address and connections to an excluded server are
-// closed as soon as they are idle.
+// applyUpdate applies a changed entry of the list. Connections to a previous address and connections to an excluded
+// server are closed as soon as they are idle.
 func (s *server) applyUpdate(m relay.Member) {
 	moved := m.Addr != s.member.Addr && m.Addr != ""
 	switch {
