--- a/internal/sidecar/frontend/bind.go
+++ b/internal/sidecar/frontend/bind.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Bind opens a listener. The file of a Unix socket that nobody listens at, left by a process that was killed, is
-// replaced; one that another process serves is syscall.EADDRINUSE.
+// Bind opens a listener. It replaces the file of a Unix socket without a listener, as left by a killed process. If
+// another process serves the socket, Bind returns syscall.EADDRINUSE.
 func Bind(l Listener) (net.Listener, error) {
 	path, unix := l.path()
 	if !unix {
@@ -24,9 +24,9 @@
 	if err := checkReplaceable(path); err != nil {
 		return nil, err
 	}
-	// Under another name until its mode is set: nobody may connect in between.
+	// The socket has a temporary name until its mode is set, so that no client can connect in between.
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
-	_ = os.Remove(temporary) // a leftover; if it cannot be removed, Listen fails
+	_ = os.Remove(temporary) // may be left from a failed call; if it cannot be removed, Listen fails
 	ln, err := net.Listen("unix", temporary)
 	if err != nil {
 		return nil, err
@@ -36,7 +36,7 @@
 		err = os.Rename(temporary, path)
 	}
 	if err != nil {
-		_, _ = ln.Close(), os.Remove(temporary) // the first error is the one to report
+		_, _ = ln.Close(), os.Remove(temporary) // err is the error to report
 		return nil, err
 	}
 	return ln, nil
@@ -55,7 +55,7 @@
 	}
 	nc, err := net.DialTimeout("unix", path, time.Second)
 	if err == nil {
-		_ = nc.Close() // that it opened is enough
+		_ = nc.Close() // the connection only shows that a process listens
 		return fmt.Errorf("%s: %w", path, syscall.EADDRINUSE)
 	}
 	if !errors.Is(err, syscall.ECONNREFUSED) {
--- a/internal/sidecar/frontend/http/body.go
+++ b/internal/sidecar/frontend/http/body.go
@@ -11,23 +11,24 @@
 	"fieldrelay/internal/sidecar/relay"
 )
 
-// Charges to the byte budget, beside bodies and answers.
+// Charges of a request to the byte budget, and bounds on its wait for them.
 const (
-	requestBytes = 4 << 10 // the head of a request, and its state in the relay, the module and a server's connection
-	// maxWaitFraction is the part of its time that a request may wait for bytes: rejected after half of it, with
-	// nothing sent, it would have cost its client more than a rejection.
+	requestBytes = 4 << 10 // charge for a request's head and its state in the relay, the module and a server's connection
+	// maxWaitFraction is the fraction of its time budget that a request may wait for the byte budget. A rejection
+	// after half of that time, with nothing sent, would cost the client more than an early rejection.
 	maxWaitFraction = 0.45
-	// minTimeLeftPerWork times the expected work, if told, must be left after the wait: a request that can only
-	// just be served looks like one that the whole fleet was slow to answer.
+	// minTimeLeftPerWork times the expected work, if stated, must be left after the wait: a request that is only just
+	// served in time looks as if the whole fleet was slow to answer.
 	minTimeLeftPerWork = 2.5
-	initialBodyBytes   = 4 << 10 // first charge for a body in chunks
-	bodyGrowth         = 4       // factor of the later ones
+	initialBodyBytes   = 4 << 10 // first charge for a chunked body
+	bodyGrowth         = 4       // factor of each later charge for a chunked body
 )
 
-// readBody charges a request and reads its body, which stays in the operating system until there are bytes for it.
-// The error is a *rejectionError or one of reading. Without an error the request owns the charge.
+// readBody charges a request to the byte budget and then reads its body, which stays in the socket's receive buffer
+// until the budget admits it. The error is a *rejectionError or a read error. If there is none, the request owns the
+// charge.
 func (s *Server) readBody(ctx *fasthttp.RequestCtx, conn *watchedConn, req *relay.Request) (err error) {
-	length := max(ctx.Request.Header.ContentLength(), -1) // below 0: in chunks
+	length := max(ctx.Request.Header.ContentLength(), -1) // below 0: chunked
 	stream := ctx.RequestBodyStream()
 	if stream == nil {
 		length = 0
@@ -48,7 +49,7 @@
 		return nil
 	}
 	entered := time.Now()
-	if entered.Sub(now) > time.Millisecond { // the wait was not the client's fault
+	if entered.Sub(now) > time.Millisecond { // the client did not cause the wait
 		setReadDeadline(conn.Conn, entered.Add(readTimeout))
 	}
 	conn.setReceiving(true)
@@ -66,11 +67,11 @@
 type bodyCharge struct {
 	gate        *budget.Gate
 	reservation budget.Reservation
-	until       time.Time // when to stop waiting for bytes
+	until       time.Time // end of the wait for the byte budget
 	charge      *budget.Charge
 }
 
-// newBodyCharge prepares the charge of a request with a body of some length, below 0 if that is not known.
+// newBodyCharge prepares the charge of a request with a body of the given length, which is negative if unknown.
 func (s *Server) newBodyCharge(req *relay.Request, length int, now time.Time) bodyCharge {
 	r := budget.Reservation{Kind: budget.Requests, Bytes: requestBytes + int64(length), Value: s.classes.value(req.Class)}
 	if length < 0 {
@@ -82,7 +83,8 @@
 	return bodyCharge{gate: s.options.Gate, reservation: r, until: now.Add(longestWait)}
 }
 
-// enter waits for the bytes of the present reservation and sets the charge, or returns errNoMemory with the charge as it was.
+// enter waits until the budget grants the current reservation and sets the charge, or returns errNoMemory and leaves the
+// charge unchanged.
 func (c *bodyCharge) enter() error {
 	charge, err := c.gate.Reserve(c.reservation, c.until, nil)
 	if err != nil {
@@ -92,7 +94,7 @@
 	return nil
 }
 
-// readChunks reads a body of unknown length, and raises the charge as it grows.
+// readChunks reads a body of unknown length and raises its charge as the body grows.
 func (c *bodyCharge) readChunks(stream io.Reader) ([]byte, error) {
 	body := make([]byte, 0, initialBodyBytes)
 	for {
@@ -122,7 +124,7 @@
 // bodyTooLongHeader marks the head of a request whose body will not be read.
 const bodyTooLongHeader = "X-Body-Too-Long"
 
-// skipLongBody keeps fasthttp from waiting for the first byte of a body that is rejected by its length alone.
+// skipLongBody keeps fasthttp from waiting for the first byte of a body that is rejected because of its stated length.
 func skipLongBody(h *fasthttp.RequestHeader) (unchanged fasthttp.RequestConfig) {
 	if h.ContentLength() > relay.MaxBodySize {
 		h.SetContentLength(0)
--- a/internal/sidecar/frontend/http/classes.go
+++ b/internal/sidecar/frontend/http/classes.go
@@ -8,21 +8,21 @@
 	"fieldrelay/internal/sidecar/logic"
 )
 
-// minValue is the value of a class that states none.
+// minValue is the minimum value of a class, and the value of a class without one in the settings.
 const minValue = 0.01
 
-// class is what a server needs to know about a class.
+// class holds the properties of a class that a server needs.
 type class struct {
 	method   string
 	needsKey bool // a request must carry Idempotency-Key
 	value    float64
 }
 
-// Classes is the table of the classes and tenants that servers accept. It may change while they serve: a request
-// is parsed by the table as it was when its head arrived. It is safe for concurrent use.
+// Classes is the table of the classes and tenants that servers accept. It may change while servers run: a request is
+// parsed with the table at the time of its arrival. It is safe for concurrent use.
 type Classes struct {
 	table   atomic.Pointer[map[string]*class]
-	tenants atomic.Pointer[map[string]bool] // empty: the site names no tenants
+	tenants atomic.Pointer[map[string]bool] // names of the tenants; empty: the settings name none
 }
 
 // NewClasses returns a table of classes and of the tenants that may call.
@@ -50,7 +50,7 @@
 	t.table.Store(&table)
 }
 
-// value is that of a request of the class, for the byte budget; of a class dropped meanwhile, the least.
+// value returns the value of a request of the class for the byte budget. It is minValue for a class removed meanwhile.
 func (t *Classes) value(name string) float64 {
 	if c, ok := t.get(name); ok {
 		return c.value
@@ -58,8 +58,8 @@
 	return minValue
 }
 
-// mayCall reports whether X-Caller may name this tenant: one of the settings, or any well-formed one where they
-// name none. An absent header is accepted.
+// mayCall reports whether X-Caller may name this tenant: a tenant of the settings or, if the settings name none, any
+// well-formed name. An absent header is accepted.
 func (t *Classes) mayCall(name string) bool {
 	if name == "" {
 		return true
--- a/internal/sidecar/frontend/http/conn.go
+++ b/internal/sidecar/frontend/http/conn.go
@@ -10,42 +10,42 @@
 	"fieldrelay/internal/sidecar/budget"
 )
 
-// finalReadTimeout is how long an idle connection is read once more before it is closed, at an eviction or a shutdown.
+// finalReadTimeout bounds the last read of an idle connection before it is closed at an eviction or a shutdown.
 const finalReadTimeout = time.Millisecond
 
-// ended is a deadline in the past: it ends a pending read or accept at once.
+// ended is a deadline in the past, which ends a pending read or accept at once.
 var ended = time.Unix(1, 0)
 
-// setReadDeadline sets a deadline. Its error is left to the next read, which fails on a closed connection.
+// setReadDeadline sets a read deadline. It ignores the error: on a closed connection the next read fails.
 func setReadDeadline(nc net.Conn, t time.Time) { _ = nc.SetReadDeadline(t) }
 
-// watchedConn is a connection that notices its client's end while a request is served, which fasthttp does not: a read
-// goes on meanwhile, and what it gets of the next request is kept for fasthttp's own read.
+// watchedConn is a connection that detects that its client has disconnected while a request is served, which fasthttp
+// does not. It keeps a read pending during the request, and stores the bytes read from the next request for fasthttp.
 type watchedConn struct {
 	net.Conn
 	listener      *listener
 	connCharge    *budget.Charge
-	firstDeadline time.Time // of the reading of its first request
-	readAhead     []byte    // read during a request; owned by the watch while there is one, or else by the goroutine that serves
+	firstDeadline time.Time // deadline for reading the first request
+	readAhead     []byte    // bytes read during a request; owned by a running watch, otherwise by the serving goroutine
 
-	// Owned by the goroutine that serves.
-	answered     bool           // its first request is
-	expires      time.Time      // when the client of its request stops waiting
-	lastWrite    time.Time      // zero: nothing was written
-	answerCharge *budget.Charge // of the answer being written; released by the next read or the close
+	// Owned by the serving goroutine.
+	answered     bool           // the first request is answered
+	expires      time.Time      // time at which the client of the current request stops waiting
+	lastWrite    time.Time      // time of the last write; zero: nothing was written
+	answerCharge *budget.Charge // charge of the answer being written; released by the next read or the close
 
-	// Under the listener's lock.
+	// Guarded by the listener's mutex.
 	busy          bool           // a request has begun to arrive and is not answered
-	busySince     time.Time      // since when
-	idleSince     time.Time      // when it was last busy
-	requestCharge *budget.Charge // while it is busy
-	received      bool           // nothing more of its request is awaited from the client
-	closing       bool           // it is to end, to free its place
-	evicted       bool           // and that although a request has begun to arrive
+	busySince     time.Time      // start of the current or last busy period
+	idleSince     time.Time      // start of the current or last idle period
+	requestCharge *budget.Charge // charge of busyBytes while the connection is busy
+	received      bool           // no more bytes of the current request are expected from the client
+	closing       bool           // the connection is being evicted
+	evicted       bool           // the connection is being evicted although a request has begun to arrive
 }
 
-// SetReadDeadline bounds the reading of the first request by the time from when the connection was made: however slowly
-// a request arrives, and however long its connection stood in the backlog, it does not occupy a place for longer.
+// SetReadDeadline limits the deadline to firstDeadline until the first request is answered. A connection is therefore
+// not occupied for longer by a request that arrives slowly, or by one that waited in the backlog.
 func (c *watchedConn) SetReadDeadline(t time.Time) error {
 	if !c.answered && t.After(c.firstDeadline) {
 		t = c.firstDeadline
@@ -53,8 +53,8 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// SetWriteDeadline bounds the writing of an answer by the time in which it is of use: a client that does not read it
-// occupies no bytes for longer.
+// SetWriteDeadline limits the deadline to writeGracePeriod after the request's expiry, or after now if that is later, so
+// that a client which does not read its answer does not keep memory for longer.
 func (c *watchedConn) SetWriteDeadline(t time.Time) error {
 	if last := later(c.expires, time.Now()).Add(writeGracePeriod); !t.IsZero() && !c.expires.IsZero() && t.After(last) {
 		t = last
@@ -69,14 +69,14 @@
 	return b
 }
 
-// releaseAnswer releases the charge of an answer that has been written.
+// releaseAnswer releases the charge of the answer that has been written, if any.
 func (c *watchedConn) releaseAnswer() {
 	c.answerCharge.Release()
 	c.answerCharge = nil
 }
 
-// Read reads for fasthttp. An idle connection that is to end is read once more: a request that has arrived but was not
-// read counts as accepted, and fasthttp's own closing of idle connections would lose it.
+// Read implements net.Conn for fasthttp. An idle connection that is to be closed is read once more: a request that has
+// arrived but was not read counts as accepted, and would be lost if fasthttp closed the connection.
 func (c *watchedConn) Read(p []byte) (int, error) {
 	c.releaseAnswer()
 	if len(c.readAhead) > 0 {
@@ -96,8 +96,8 @@
 	return n, err
 }
 
-// boundRead bounds the next read if the connection is to end, and reports whether it is. For a request that has begun
-// to arrive it replaces the deadline in the past that a shutdown may just have set.
+// boundRead sets a deadline for the next read if the connection is to be closed, and reports whether it is. For a
+// request that has begun to arrive it replaces the deadline in the past that a shutdown may just have set.
 func (c *watchedConn) boundRead() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -114,10 +114,10 @@
 	return true
 }
 
-// interim begins a 100 Continue response, which ends no request.
+// interim is the start of a 100 Continue response, which is not the answer to a request.
 var interim = []byte("HTTP/1.1 100 ")
 
-// Write writes for fasthttp.
+// Write implements net.Conn for fasthttp. Any write except an interim response answers the current request.
 func (c *watchedConn) Write(p []byte) (int, error) {
 	if !bytes.HasPrefix(p, interim) {
 		c.answered = true
@@ -127,7 +127,7 @@
 	return c.Conn.Write(p)
 }
 
-// setBusy records that a request has begun to arrive, or is answered.
+// setBusy records that a request has begun to arrive (busy is true) or is answered.
 func (c *watchedConn) setBusy(busy bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -143,20 +143,20 @@
 	}
 	if c.busy = busy; !busy {
 		c.idleSince = time.Now()
-	} else if c.closing && !c.evicted { // a request arrived at the last moment
+	} else if c.closing && !c.evicted { // a request arrived in the last read before the close
 		c.keepOpen()
 		setReadDeadline(c, time.Now().Add(readTimeout))
 	}
 }
 
-// setReceiving records whether more of a request is awaited from the client.
+// setReceiving records whether more bytes of the current request are expected from the client.
 func (c *watchedConn) setReceiving(more bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.received = !more
 }
 
-// keepOpen revokes that the connection is to end. The listener's lock is held.
+// keepOpen revokes the eviction of the connection, if any. The listener's mutex must be held.
 func (c *watchedConn) keepOpen() {
 	if c.closing {
 		c.closing = false
@@ -165,10 +165,10 @@
 	c.listener.signalReleased()
 }
 
-// Close ends the connection. After an answer it leaves the client time to read that.
+// Close closes the connection. After an answer it lingers, so that the client can read the answer.
 func (c *watchedConn) Close() error {
 	c.linger()
-	err := c.Conn.Close() // before its place is free: the next connection needs the descriptor
+	err := c.Conn.Close() // before the connection is removed from conns, since the next one needs the descriptor
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	if c.listener.conns[c] {
--- a/internal/sidecar/frontend/http/drain.go
+++ b/internal/sidecar/frontend/http/drain.go
@@ -8,14 +8,14 @@
 	"fieldrelay/internal/sidecar/socket"
 )
 
-// A listener that shuts down accepts connections from the operating system's backlog for backlogTimeout. Without a
-// descriptor for one it tries again at each interval.
+// A listener that shuts down accepts connections from the operating system's backlog for backlogTimeout. After a failed
+// accept, for example for lack of descriptors, it retries every backlogRetryInterval.
 const (
 	backlogTimeout       = 200 * time.Millisecond
 	backlogRetryInterval = 5 * time.Millisecond
 )
 
-// deadliner is a listener whose pending accept can be ended.
+// deadliner is implemented by listeners whose pending accept can be ended by a deadline.
 type deadliner interface{ SetDeadline(time.Time) error }
 
 // drain shuts down the listener and waits until every connection has ended, or returns the error of ctx.
@@ -29,8 +29,9 @@
 	}
 }
 
-// shutDown has the accepting goroutine accept the backlog and then close the listener, and ends the idle connections.
-// Since that goroutine closes, a connection is either accepted by it or refused by the system.
+// shutDown makes the accepting goroutine accept the backlog and then close the listener, and closes the idle
+// connections. Since the accepting goroutine closes the listener, each connection is either accepted by it or refused
+// by the operating system.
 func (l *listener) shutDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,7 +39,7 @@
 		l.draining, l.backlogUntil = true, time.Now().Add(backlogTimeout)
 		close(l.closed)
 		if d, ok := l.Listener.(deadliner); ok {
-			_ = d.SetDeadline(ended) // a listener that is closed already needs none
+			_ = d.SetDeadline(ended) // fails only on a closed listener, which needs no deadline
 		} else {
 			_ = l.Close() // end closes it again
 		}
@@ -57,12 +58,12 @@
 	return l.draining
 }
 
-// acceptBacklog accepts what the operating system had accepted before the shutdown, and then closes the listener:
-// closed first, it would reset those connections together with their requests.
+// acceptBacklog accepts the connections that the operating system had accepted before the shutdown, and then closes the
+// listener. Closing it first would reset those connections and lose their requests.
 func (l *listener) acceptBacklog() (net.Conn, error) {
 	for time.Now().Before(l.backlogUntil) && socket.Pending(l.Listener) {
 		if d, ok := l.Listener.(deadliner); ok {
-			_ = d.SetDeadline(l.backlogUntil) // accept reports a closed listener
+			_ = d.SetDeadline(l.backlogUntil) // on a closed listener accept fails
 		}
 		if nc, err := l.accept(); err == nil {
 			return nc, nil
@@ -75,14 +76,14 @@
 
 // end closes the listener, on the accepting goroutine.
 func (l *listener) end() {
-	_ = l.Close() // it may be closed already
+	_ = l.Close() // the listener may be closed already
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.acceptEnded = true
 	l.checkEmpty()
 }
 
-// checkEmpty closes empty when nothing is left to drain. The lock is held.
+// checkEmpty closes empty once the listener drains and no connection is left. l.mu must be held.
 func (l *listener) checkEmpty() {
 	if l.draining && l.acceptEnded && len(l.conns) == 0 {
 		l.once.Do(func() { close(l.empty) })
--- a/internal/sidecar/frontend/http/evict.go
+++ b/internal/sidecar/frontend/http/evict.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// memoryPollInterval is how often a listener for which the budget has no bytes checks again.
+	// memoryPollInterval is how often a listener checks an exhausted byte budget again.
 	memoryPollInterval = 20 * time.Millisecond
-	// rejectedPerPoll is how many large requests that wait for bytes are rejected at each check.
+	// rejectedPerPoll is the number of large requests waiting for the byte budget that are rejected at each check.
 	rejectedPerPoll = 4
-	// minIdleTime is how long a client may count on a connection that carries no request.
+	// minIdleTime is how long an idle connection is safe from eviction.
 	minIdleTime = 2 * time.Second
-	// stallTimeout is how long a request may take to arrive while others wait for its place. Clients send a request
-	// in one go.
+	// stallTimeout is how long a request may take to arrive while other clients wait for its connection. Clients send
+	// a request in one piece.
 	stallTimeout = 500 * time.Millisecond
-	// One place in spareSlotsDivisor is kept free while connections idle.
+	// One connection slot in spareSlotsDivisor is kept free by evicting idle connections.
 	spareSlotsDivisor = 8
 )
 
@@ -25,19 +25,19 @@
 func (l *listener) waitForCapacity() error {
 	for {
 		lacking := !l.gate.FitsConn(connBytes + busyBytes)
-		short := lacking && socket.Pending(l.Listener) // else it keeps nobody out
+		short := lacking && socket.Pending(l.Listener) // without a pending connection the shortage affects no client
 		l.memoryShort.Store(short)
 		wait, full := l.evict(short)
 		if !full && !lacking {
 			return nil
 		}
 		if lacking {
-			// A client that waits for a large body's bytes occupies a connection meanwhile: it had better be rejected
-			// than that others are not served at all.
+			// A client that waits for the bytes of a large body occupies a connection: rejecting it is better than not
+			// serving other clients at all.
 			if short && wait > memoryPollInterval {
 				l.gate.DropLarge(rejectedPerPoll)
 			}
-			wait = memoryPollInterval // bytes are released in other ways as well
+			wait = memoryPollInterval // bytes are also released without a signal on l.released
 		}
 		var aged <-chan time.Time
 		if wait > 0 {
@@ -52,9 +52,10 @@
 	}
 }
 
-// evict ends a connection when places, or with short bytes, run short: the one that has been idle for longest, or if
-// none has been for minIdleTime, the one whose request has been arriving for longest. It reports whether all places
-// are taken, and if a connection becomes evictable by age, after what time; 0: none does.
+// evict evicts a connection if few connection slots are free or short is set (the byte budget is exhausted). It chooses
+// the connection that has been idle for longest or, if none has been idle for minIdleTime and capacity is exhausted,
+// the one whose request has been arriving for longest. It reports whether all slots are taken, and after what time the
+// next connection becomes old enough to be evicted; 0: none does.
 func (l *listener) evict(short bool) (wait time.Duration, full bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,8 +81,8 @@
 	return 0, full
 }
 
-// longestIdleAndSlowest returns the connection that has been idle for longest, and the one whose request has been
-// arriving for longest, or nil for each that there is none of. The lock is held.
+// longestIdleAndSlowest returns the connection that has been idle for longest and the one whose request has been
+// arriving for longest. Either is nil if there is none. l.mu must be held.
 func (l *listener) longestIdleAndSlowest() (idle, slowest *watchedConn) {
 	for c := range l.conns {
 		switch {
@@ -95,17 +96,17 @@
 	return idle, slowest
 }
 
-// evictConn has a connection end. The lock is held.
+// evictConn starts the eviction of a connection. l.mu must be held.
 func (l *listener) evictConn(c *watchedConn) {
 	c.closing, c.evicted = true, c.busy
 	l.closing++
 	setReadDeadline(c.Conn, ended)
 }
 
-// trimIdle ends the connections that clients can no longer count on.
+// trimIdle closes the connections that have been idle for minIdleTime.
 func (l *listener) trimIdle() { l.endIdle(minIdleTime) }
 
-// endIdle ends the connections that have been idle for a time.
+// endIdle closes the connections that have been idle for at least minIdle.
 func (l *listener) endIdle(minIdle time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sidecar/frontend/http/handle.go
+++ b/internal/sidecar/frontend/http/handle.go
@@ -13,7 +13,7 @@
 	"fieldrelay/internal/sidecar/socket"
 )
 
-// handle answers one request.
+// handle handles one request, including /ready.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) == "/ready" {
 		s.answerReady(ctx)
@@ -58,7 +58,7 @@
 	}
 }
 
-// serve submits a request and waits for its answer or the client's end.
+// serve submits a request and waits for its answer or the client's disconnect.
 func (s *Server) serve(ctx *fasthttp.RequestCtx, conn *watchedConn, req relay.Request) {
 	conn.expires = req.Expires
 	pending := &reply{answers: make(chan relay.Answer, 1)}
@@ -79,20 +79,20 @@
 		watch.stop()
 		s.relay.Withdraw(id)
 		pending.abandon()
-		// A client that only ended its sending would take whatever fasthttp now writes for an answer: the
-		// connection is taken from it and closed with nothing written.
+		// A client that only closed its sending side would take whatever fasthttp writes now for an answer. So the
+		// connection is hijacked and closed without a response.
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(net.Conn) {})
 	}
 }
 
-// reply passes a request's answer from the relay to the connection, unless the client goes first.
+// reply passes a request's answer from the relay to the connection, unless the client disconnects first.
 type reply struct {
 	answers chan relay.Answer
-	decided atomic.Bool // by whichever of the two comes first
+	decided atomic.Bool // set by the first of answer and abandon
 }
 
-// answer is called by the relay, once at the most.
+// answer receives the final answer. The relay calls it at most once.
 func (r *reply) answer(a relay.Answer) {
 	if r.decided.CompareAndSwap(false, true) {
 		r.answers <- a
@@ -101,7 +101,8 @@
 	}
 }
 
-// abandon releases the charge of an answer that the client's end has crossed, and has a later one released.
+// abandon releases the charge of an answer that arrived concurrently with the client's disconnect. The charge of a later
+// answer is released by answer.
 func (r *reply) abandon() {
 	if !r.decided.CompareAndSwap(false, true) {
 		a := <-r.answers
@@ -127,10 +128,10 @@
 	}
 }
 
-// notCounted is no outcome of the metrics: no server saw the request.
+// notCounted stands for an answer that the metrics do not count, since no server received the request.
 const notCounted = metrics.Outcome(255)
 
-// metricOutcome is how the metrics count an answer.
+// metricOutcome returns the outcome as which the metrics count an answer.
 func metricOutcome(kind relay.AnswerKind) metrics.Outcome {
 	switch kind {
 	case relay.Served:
--- a/internal/sidecar/frontend/http/head.go
+++ b/internal/sidecar/frontend/http/head.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	maxTokenLength = 256       // bytes of an id in a header
-	maxTimeBudget  = time.Hour // no client waits for longer
+	maxTokenLength = 256       // maximum length of an id in a header, in bytes
+	maxTimeBudget  = time.Hour // maximum time for which a client may wait
 )
 
-// parseHead parses the head of a request that arrived at a time. The error is a *rejectionError. What fasthttp
-// uses again after the handler is copied.
+// parseHead parses the head of a request that has arrived at the given time. Its error is a *rejectionError. It copies
+// the values whose memory fasthttp reuses after the handler.
 func (s *Server) parseHead(ctx *fasthttp.RequestCtx, arrived time.Time) (relay.Request, error) {
 	var none relay.Request
 	h := &ctx.Request.Header
-	// With two headers for the length, a server may see another request in the body (request smuggling).
+	// If two headers state the length, a server may take part of the body for another request (request smuggling).
 	if h.ConnectionClose() && hasTwoLengths(h.RawHeaders()) {
 		ctx.SetConnectionClose()
 		return none, badHead("Content-Length and Transfer-Encoding exclude one another")
@@ -46,7 +46,7 @@
 	return req, nil
 }
 
-// classOf returns the class that the first element of the path names, if it takes the request's method.
+// classOf returns the class named by the first element of the path, if it accepts the request's method.
 func (s *Server) classOf(ctx *fasthttp.RequestCtx) (string, *class, error) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(string(ctx.Path()), "/"), "/")
 	class, known := s.classes.get(name)
@@ -73,7 +73,7 @@
 		return none, badHead("X-Call-Id: missing or malformed")
 	}
 	key := string(h.Peek("Idempotency-Key"))
-	if (class.needsKey || key != "") && !isToken(key) { // an unsafe class may carry one; a keyed one must
+	if (class.needsKey || key != "") && !isToken(key) { // a keyed class requires a key; any other class may carry one
 		return none, badHead("Idempotency-Key: missing or malformed")
 	}
 	tenant := string(h.Peek("X-Caller"))
@@ -96,22 +96,22 @@
 	}, nil
 }
 
-// hasTwoLengths reports whether a head has both headers that state a length. fasthttp goes by the second one,
-// marks the connection to be closed and does not keep the first.
+// hasTwoLengths reports whether a head has both Content-Length and Transfer-Encoding. fasthttp uses Transfer-Encoding,
+// marks the connection to be closed and drops Content-Length.
 func hasTwoLengths(head []byte) bool {
 	head = append([]byte("\n"), bytes.ToLower(head)...)
 	return bytes.Contains(head, []byte("\ncontent-length:")) && bytes.Contains(head, []byte("\ntransfer-encoding:"))
 }
 
-// isToken reports whether text can be an id: visible ASCII of bounded length.
+// isToken reports whether text is a valid id: non-empty visible ASCII of at most maxTokenLength bytes.
 func isToken(text string) bool {
 	return text != "" && len(text) <= maxTokenLength &&
 		!strings.ContainsFunc(text, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
-// parseDuration parses a decimal number of units, up to maxTimeBudget.
+// parseDuration parses a decimal number of units and accepts durations from 0 to maxTimeBudget.
 func parseDuration(text []byte, unit time.Duration) (time.Duration, error) {
-	if len(bytes.Trim(text, "0123456789.")) > 0 { // ParseFloat takes names, hexadecimal numbers and signs as well
+	if len(bytes.Trim(text, "0123456789.")) > 0 { // ParseFloat also accepts names, hexadecimal numbers and signs
 		return 0, strconv.ErrSyntax
 	}
 	v, err := strconv.ParseFloat(string(text), 64)
@@ -124,11 +124,11 @@
 	return time.Duration(v * float64(unit)), nil
 }
 
-// queueDelay is how long the last byte of a request has waited in the operating system to be read. A sidecar that
-// had no core for a while would otherwise give a client more time than it has, and answer after it has gone.
+// queueDelay returns how long the last byte of a request has waited in the socket's receive buffer. Without it, a
+// sidecar that got no CPU time for a while would overestimate the client's remaining time, and answer too late.
 func queueDelay(nc net.Conn) time.Duration {
 	unread := socket.Quiet(nc)
-	if unread > readTimeout { // no request waits for so long: the system does not know
+	if unread > readTimeout { // no request waits for so long: the operating system does not know the delay
 		return 0
 	}
 	return unread
--- a/internal/sidecar/frontend/http/linger.go
+++ b/internal/sidecar/frontend/http/linger.go
@@ -9,19 +9,19 @@
 	"fieldrelay/internal/sidecar/socket"
 )
 
-// Between an answer and the close of its connection (a lingering close, RFC 9112, section 9.6). A close with unread
-// bytes resets the connection, which destroys what of the answer has not reached the client: so the sending side is
-// closed first, and what still arrives is discarded until the client has the whole answer or has closed as well, for
-// so long and up to so many bytes.
+// Parameters of the lingering close after an answer (RFC 9112, section 9.6). Closing a connection with unread bytes
+// resets it, which destroys the part of the answer that has not reached the client. So the sending side is closed
+// first, and arriving bytes are discarded until the client has the whole answer or has closed as well: for at most
+// lingerTime, checked every lingerPollInterval, and up to lingerBytes.
 const (
 	lingerTime         = 250 * time.Millisecond
 	lingerPollInterval = 2 * time.Millisecond
 	lingerBytes        = 1 << 20
 )
 
-// linger closes the sending side and discards what still arrives. None of it is served: a client that meets the end of a
-// connection knows that a request on its way was not read. It does nothing for a connection without a recent answer,
-// which has nothing to lose, and for one whose place is needed at once.
+// linger closes the sending side and discards the bytes that still arrive. No request among them is served: a client
+// that reads the end of the connection knows that a later request was not read. linger does nothing for a connection
+// without a recent answer, which has nothing to lose, and for an evicted one, whose slot is needed at once.
 func (c *watchedConn) linger() {
 	c.listener.mu.Lock()
 	evicted := c.evicted
--- a/internal/sidecar/frontend/http/listener.go
+++ b/internal/sidecar/frontend/http/listener.go
@@ -13,36 +13,36 @@
 	"fieldrelay/internal/sidecar/socket"
 )
 
-// Charge of a connection to the byte budget: its goroutine, fasthttp's state for it and its read buffer; and during
-// a request the watch, the buffers of both directions and the deeper stacks. Measured, with what the allocator rounds
-// up.
+// Charges of a connection to the byte budget, including the allocator's rounding. connBytes covers its goroutine,
+// fasthttp's state for it and its read buffer; busyBytes covers the watch, the read and write buffers and the deeper
+// stacks during a request.
 const (
 	connBytes = 12 << 10
 	busyBytes = 6 << 10
 )
 
-// acceptRetryInterval is the wait after an accept that failed for want of descriptors or memory, unless a connection
-// ends before.
+// acceptRetryInterval is the wait after an accept that failed because descriptors or memory were short, unless a
+// connection ends earlier.
 const acceptRetryInterval = 50 * time.Millisecond
 
-// listener tracks its connections, so that they can be watched during a request, ended at a shutdown, and evicted:
-// silent clients would otherwise keep all others out.
+// listener tracks its connections, so that they can be watched during a request, closed at a shutdown, and evicted.
+// Without eviction, idle clients could occupy all connections and lock out other clients.
 type listener struct {
 	net.Listener
 	gate        *budget.Gate
-	memoryShort atomic.Bool   // connections waited at the last check for want of bytes
-	released    chan struct{} // signaled when a connection has ended, or one that was to end stays
+	memoryShort atomic.Bool   // at the last check, connections waited because the byte budget was exhausted
+	released    chan struct{} // signaled when a connection has ended, its eviction is revoked or the limit changes
 	closed      chan struct{} // closed when the listener begins to drain
 
 	mu           sync.Mutex
 	maxConns     int
 	conns        map[*watchedConn]bool
-	closing      int // of them, evicted
+	closing      int // number of connections marked for closing by an eviction
 	draining     bool
-	backlogUntil time.Time     // until when the backlog is accepted; set before closed is closed
-	acceptEnded  bool          // no connection is on its way from the backlog to conns
-	empty        chan struct{} // closed once it drains and no connection is left
-	once         sync.Once     // of the closing of empty
+	backlogUntil time.Time     // end of accepting the backlog; set before closed is closed
+	acceptEnded  bool          // no further connection will be added to conns
+	empty        chan struct{} // closed once the listener drains and no connection is left
+	once         sync.Once     // closes empty
 }
 
 func newListener(ln net.Listener, maxConns int, gate *budget.Gate) *listener {
@@ -50,9 +50,8 @@
 		closed: make(chan struct{}), conns: map[*watchedConn]bool{}, empty: make(chan struct{})}
 }
 
-// Accept leaves a connection beyond the bound in the operating system's backlog until there is a place for it: taken
-// and closed, its request would be lost. A transient error does not end the service: idle connections are closed, and
-// accept is tried again.
+// Accept leaves connections beyond the limit in the operating system's backlog until there is capacity: accepting and
+// closing a connection would lose its request. After a transient error it closes idle connections and retries.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		if err := l.waitForCapacity(); err != nil {
@@ -83,25 +82,26 @@
 	if err != nil {
 		return nil, err
 	}
-	quiet := socket.Quiet(nc) // it may have stood in the backlog for a while
+	quiet := socket.Quiet(nc) // the connection may have waited in the backlog
 	c := &watchedConn{Conn: nc, listener: l, connCharge: l.gate.ForceReserve(budget.Conns, connBytes),
 		idleSince: time.Now().Add(-quiet), firstDeadline: time.Now().Add(max(readTimeout-quiet, minReadTimeout))}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns[c] = true
-	if l.draining { // accepted at the last moment: a request that it carries is answered
+	if l.draining { // accepted during the shutdown: a request that has arrived is still answered
 		setReadDeadline(c.Conn, ended)
 	}
 	return c, nil
 }
 
-// isTransient reports whether an error of accept may pass: descriptors or memory are short, or the client has gone.
+// isTransient reports whether an error of accept is temporary: descriptors or memory are short, or the client has
+// disconnected.
 func isTransient(err error) bool {
 	transient := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EINTR}
 	return slices.ContainsFunc(transient, func(e error) bool { return errors.Is(err, e) })
 }
 
-// setMaxConns bounds the connections that are open at a time.
+// setMaxConns bounds the number of open connections.
 func (l *listener) setMaxConns(conns int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sidecar/frontend/http/pause.go
+++ b/internal/sidecar/frontend/http/pause.go
@@ -2,15 +2,14 @@
 
 import "time"
 
-// While a server is paused, a connection is ended once it has been idle for pausedIdleTimeout, which is checked
-// at each interval.
+// While a server is paused, a connection is closed once it has been idle for pausedIdleTimeout, which is checked every
+// pauseCheckInterval.
 const (
 	pausedIdleTimeout  = 300 * time.Millisecond
 	pauseCheckInterval = 100 * time.Millisecond
 )
 
-// Pause lets /ready say no and ends every connection once it carries no request, until Resume. Requests are
-// answered as before.
+// Pause makes /ready fail and closes every connection once it is idle, until Resume. Requests are answered as before.
 func (s *Server) Pause() {
 	resumed := make(chan struct{})
 	if s.paused.CompareAndSwap(nil, &resumed) {
@@ -18,7 +17,8 @@
 	}
 }
 
-// endIdleUntil ends idle connections until resumed is closed or the server shuts down, which ends them by itself.
+// endIdleUntil closes idle connections until resumed is closed or the server shuts down. The shutdown closes them
+// itself.
 func (s *Server) endIdleUntil(resumed <-chan struct{}) {
 	tick := time.NewTicker(pauseCheckInterval)
 	defer tick.Stop()
--- a/internal/sidecar/frontend/http/reject.go
+++ b/internal/sidecar/frontend/http/reject.go
@@ -14,16 +14,16 @@
 	"fieldrelay/internal/sidecar/relay"
 )
 
-// discardTimeout bounds the reading of the rest of an unwanted body before its connection is closed.
+// discardTimeout bounds the discarding of the rest of a rejected body before its connection is closed.
 const discardTimeout = 250 * time.Millisecond
 
-// rejectionError is the error of a request that is answered without the relay.
+// rejectionError is the error of a request that is answered without being submitted to the relay.
 type rejectionError struct {
 	status int
-	reason string // the body of the answer
+	reason string // body of the answer
 }
 
-// Error is the reason, as the client gets it.
+// Error returns the reason that is sent to the client.
 func (e *rejectionError) Error() string { return e.reason }
 
 // badHead returns the rejection of a malformed head.
@@ -32,20 +32,21 @@
 }
 
 var (
-	// errNoMemory: the byte budget had nothing for a request in time.
+	// errNoMemory is the error of a request that the byte budget did not admit in time.
 	errNoMemory = &rejectionError{fasthttp.StatusServiceUnavailable, "short of memory"}
 	errTooLarge = &rejectionError{fasthttp.StatusRequestEntityTooLarge, "body over 64 KiB"}
 )
 
-// reject answers a request that is not submitted. An error other than a rejectionError is one of reading the body.
+// reject answers a request that is not submitted. Any error other than a rejectionError is an error of reading the body.
 func (s *Server) reject(ctx *fasthttp.RequestCtx, conn *watchedConn, err error) {
 	var rejection *rejectionError
 	if errors.As(err, &rejection) {
 		stream := ctx.RequestBodyStream()
 		if rejection == errNoMemory && stream != nil && s.listener.Load().memoryShort.Load() {
-			// Other clients wait for this one's place. Unread bytes at the close would destroy the answer.
+			// Other clients wait for this connection, so it is closed. Unread bytes at the close would reset the
+			// connection and destroy the answer.
 			setReadDeadline(conn.Conn, time.Now().Add(discardTimeout))
-			_, _ = io.Copy(io.Discard, stream) // what cannot be read need not be
+			_, _ = io.Copy(io.Discard, stream) // an error does not matter: the body is not needed
 			ctx.SetConnectionClose()
 		}
 		ctx.Error(rejection.reason, rejection.status)
@@ -56,7 +57,7 @@
 		badRequest(ctx, err)
 		ctx.SetConnectionClose()
 	}
-	// fasthttp reads the rest of the body after the answer, for so long at the most.
+	// Bounds the time for which fasthttp reads the rest of the body after the answer.
 	setReadDeadline(conn.Conn, time.Now().Add(readTimeout))
 }
 
@@ -76,7 +77,7 @@
 	}
 }
 
-// adviseRetryAfter says when a request for which there were no bytes should be retried.
+// adviseRetryAfter sets Retry-After for a request that the byte budget did not admit.
 func (s *Server) adviseRetryAfter(ctx *fasthttp.RequestCtx) {
 	if !s.options.Limits.RetryAfter {
 		return
@@ -90,12 +91,12 @@
 	}
 }
 
-// setRetryAfter sets the header to seconds with three decimals.
+// setRetryAfter sets Retry-After, in seconds with three decimals.
 func setRetryAfter(ctx *fasthttp.RequestCtx, after time.Duration) {
 	ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 }
 
-// badRequest answers what cannot be read as a request.
+// badRequest answers a request that is malformed or does not arrive completely in time.
 func badRequest(ctx *fasthttp.RequestCtx, err error) {
 	if late := net.Error(nil); errors.As(err, &late) && late.Timeout() {
 		ctx.Error("request not whole in time", fasthttp.StatusRequestTimeout)
--- a/internal/sidecar/frontend/http/server.go
+++ b/internal/sidecar/frontend/http/server.go
@@ -1,7 +1,8 @@
-// Package http is the HTTP server for clients: it turns what they send into requests to the relay and final
-// answers into HTTP. It decides nothing about servers; it rejects by itself what is malformed, over a limit of
-// the fleet or beyond the byte budget. Over fasthttp it adds connections that are watched for the client's end
-// while a request is served, evicted when places run short, and drained without loss at a shutdown.
+// Package http is the HTTP server for clients: it converts HTTP requests into requests to the relay, and final
+// answers into HTTP responses. It chooses no servers; it rejects requests that are malformed, over a limit of the
+// fleet or beyond the byte budget. In addition to fasthttp, it detects while a request is served that the client has
+// disconnected, evicts connections when the maximum number is nearly reached, and drains connections without loss
+// at a shutdown.
 package http
 
 import (
@@ -24,16 +25,16 @@
 
 // Time-outs of a connection.
 const (
-	// readTimeout bounds the reading of a request from its first byte; for the first request on a connection, from
-	// when that was made. A client that sends nothing that can be served is answered within 3 s.
+	// readTimeout bounds the reading of a request from its first byte, or from the time of the connect for the first
+	// request on a connection. A client that sends no valid request must be answered within 3 s.
 	readTimeout = 2500 * time.Millisecond
-	// minReadTimeout is left to the first request even of a connection that stood in the queue for long.
+	// minReadTimeout is the minimum for the first request of a connection that waited long in the backlog.
 	minReadTimeout = 250 * time.Millisecond
-	// idleTimeout: some clients send one request and keep their connection for good.
+	// idleTimeout bounds how long a connection may be idle: some clients send one request and never disconnect.
 	idleTimeout  = 10 * time.Second
 	writeTimeout = 10 * time.Second
-	// writeGracePeriod is how long after the request's expiry an answer may be written. Then it is abandoned, to
-	// free its bytes.
+	// writeGracePeriod is how long after the request's expiry an answer may be written. Then the answer is
+	// abandoned to free memory.
 	writeGracePeriod = 500 * time.Millisecond
 )
 
@@ -41,25 +42,26 @@
 type Relay interface {
 	// Submit accepts a request and returns its id.
 	Submit(relay.Request) uint64
-	// Withdraw reports that the client of a request has gone.
+	// Withdraw reports that the client of a request has disconnected.
 	Withdraw(uint64)
-	// Ready reports whether a server takes requests.
+	// Ready reports whether at least one server accepts requests.
 	Ready() bool
 }
 
 // Options are the settings of a server.
 type Options struct {
 	ClassSettings []logic.Class
-	Tenants       []logic.Tenant // that X-Caller may name; none: any well-formed caller
+	Tenants       []logic.Tenant // tenants that X-Caller may name; empty: any well-formed tenant
 	Limits        logic.Limits
-	Gate          *budget.Gate      // nil: bytes are not counted
-	Metrics       *metrics.Registry // nil: none
-	Admit         Admit             // nil: all requests are admitted
-	Classes       *Classes          // shared with other servers; nil: made of ClassSettings and Tenants
+	Gate          *budget.Gate      // byte budget; nil: bytes are not counted
+	Metrics       *metrics.Registry // nil: nothing is counted
+	Admit         Admit             // admission check; nil: all requests are admitted
+	Classes       *Classes          // table shared with other servers; nil: created from ClassSettings and Tenants
 }
 
-// Admit lets a request of a class and tenant through, or says after what time to retry. done is called once
-// when the request has ended, which is not later than expires. It must not block.
+// Admit decides whether a request of a class and tenant is admitted. If not, after is the delay before a retry. For an
+// admitted request, done is called once when the request has ended, which is not later than expires. Admit must not
+// block.
 type Admit func(class, tenant string, retry bool, expires time.Time) (done func(), after time.Duration, ok bool)
 
 // Server serves clients on one listener. Its methods may be called from any goroutine.
@@ -71,9 +73,9 @@
 	server   *fasthttp.Server
 	listener atomic.Pointer[listener] // nil before Serve
 	maxConns atomic.Int64
-	notReady atomic.Bool                   // /ready says no
-	closing  atomic.Bool                   // connections end with their next answer
-	paused   atomic.Pointer[chan struct{}] // while set, /ready says no and connections end; closed by Resume
+	notReady atomic.Bool                   // /ready fails
+	closing  atomic.Bool                   // connections are closed after their next answer
+	paused   atomic.Pointer[chan struct{}] // while set, /ready fails and connections are closed; closed by Resume
 }
 
 // New returns a server that submits requests to r.
@@ -85,30 +87,30 @@
 	s.server = &fasthttp.Server{
 		Name: "fieldrelay", Handler: s.handleRecovering, ErrorHandler: badRequest,
 		ReadTimeout: readTimeout, IdleTimeout: idleTimeout, WriteTimeout: writeTimeout,
-		// Bodies are read by the handler, once the budget has bytes for them. Of a longer body fasthttp has read
-		// just so much by then.
+		// The handler reads bodies once the byte budget admits them. MaxRequestBodySize bounds how much of a body
+		// fasthttp has read by then.
 		StreamRequestBody: true, MaxRequestBodySize: 1, DisablePreParseMultipartForm: true,
 		HeaderReceived: skipLongBody,
-		// Idle connections hold no buffers, and an answer never waits for the next request to arrive.
+		// Idle connections have no buffers, and an answer is never delayed until the next request arrives.
 		ReduceMemoryUsage: true,
 		Logger:            serverLogger{log},
-		Concurrency:       math.MaxInt32, // the listener bounds it
+		Concurrency:       math.MaxInt32, // the listener limits the connections
 	}
 	return s
 }
 
-// Serve answers the connections of ln until Shutdown. It is called once.
+// Serve serves the connections of ln until Shutdown. It is called once.
 func (s *Server) Serve(ln net.Listener) error {
 	l := newListener(ln, int(s.maxConns.Load()), s.options.Gate)
 	s.listener.Store(l)
-	l.setMaxConns(int(s.maxConns.Load())) // it may have changed meanwhile
+	l.setMaxConns(int(s.maxConns.Load())) // SetMaxConns may have been called before the listener was stored
 	if s.closing.Load() {
 		l.shutDown()
 	}
 	return s.server.Serve(l)
 }
 
-// SetMaxConns bounds the connections that are open at a time. Those beyond a new bound stay until they end.
+// SetMaxConns bounds the number of open connections. Connections beyond a lower bound stay until they end.
 func (s *Server) SetMaxConns(conns int) {
 	s.maxConns.Store(int64(conns))
 	if l := s.listener.Load(); l != nil {
@@ -116,10 +118,10 @@
 	}
 }
 
-// MarkNotReady lets /ready say no; all else goes on.
+// MarkNotReady makes /ready fail; requests are still served.
 func (s *Server) MarkNotReady() { s.notReady.Store(true) }
 
-// TrimIdle closes the connections that have carried no request for a while, to free their bytes.
+// TrimIdle closes the connections that have carried no request for a while, to free memory.
 func (s *Server) TrimIdle() {
 	if l := s.listener.Load(); l != nil {
 		l.trimIdle()
@@ -127,8 +129,8 @@
 }
 
 // Shutdown closes the listener and the idle connections and waits until all requests are answered, or returns
-// the error of ctx. fasthttp's own Shutdown is not used, since it drops a request that lies unread on an idle
-// connection.
+// the error of ctx. It does not use fasthttp's Shutdown, which loses a request that has arrived on an idle
+// connection but was not read.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.closing.Store(true)
 	if l := s.listener.Load(); l != nil {
@@ -137,25 +139,25 @@
 	return nil
 }
 
-// endsConns reports whether connections end with their next answer.
+// endsConns reports whether connections are closed after their next answer.
 func (s *Server) endsConns() bool { return s.closing.Load() || s.paused.Load() != nil }
 
-// handleRecovering answers a request; a panic in it does not end the process.
+// handleRecovering handles a request and recovers from a panic in the handler, so that the process goes on.
 func (s *Server) handleRecovering(ctx *fasthttp.RequestCtx) {
 	defer func() {
 		if p := recover(); p != nil {
-			s.log.Error().Str("panic", fmt.Sprint(p)).Msg("request failed")
+			s.log.Error().Str("panic", fmt.Sprint(p)).Msg("request handler panicked")
 			ctx.Error("internal error", fasthttp.StatusInternalServerError)
 		}
 	}()
 	s.handle(ctx)
 }
 
-// serverLogger passes fasthttp's lines to the log.
+// serverLogger passes fasthttp's log messages to the log.
 type serverLogger struct{ log zerolog.Logger }
 
-// Printf keeps errors caused by a client out of the usual log: the client has its answer, and one that sends
-// nothing readable could fill the log at will.
+// Printf logs errors caused by a client at debug level only: the client has received an answer, and a client that
+// sends unreadable bytes could otherwise flood the log.
 func (l serverLogger) Printf(format string, args ...any) {
 	level := zerolog.WarnLevel
 	if strings.HasPrefix(format, "error when serving connection") {
--- a/internal/sidecar/frontend/http/watch.go
+++ b/internal/sidecar/frontend/http/watch.go
@@ -8,19 +8,20 @@
 	"fieldrelay/internal/sidecar/socket"
 )
 
-// departedPollInterval is how often a client whose next request has begun to arrive is checked: its end stands behind
-// bytes that nobody reads yet. Where an attempt must not follow the client's end, relay.Payload.ClientGone is asked.
+// departedPollInterval is how often a connection is checked for the client's disconnect once the next request has begun
+// to arrive: reads do not show the disconnect, since it follows bytes that are not read yet. Transports, which must not
+// begin an attempt after the disconnect, call relay.Payload.ClientGone instead.
 const departedPollInterval = 50 * time.Millisecond
 
-// watch is a read of a connection that goes on while a request is served.
+// watch detects that the client disconnects while a request is served.
 type watch struct {
 	conn    *watchedConn
-	gone    chan struct{} // closed when the client has ended the connection
+	gone    chan struct{} // closed when the client has closed the connection
 	stopped chan struct{} // closed by stop
 	done    chan struct{} // closed when run has returned
 }
 
-// watch starts a watch, which ends with stop.
+// watch starts a watch, which must be ended by stop.
 func (c *watchedConn) watch() *watch {
 	w := &watch{conn: c, gone: make(chan struct{}), done: make(chan struct{}), stopped: make(chan struct{})}
 	setReadDeadline(c.Conn, time.Time{})
@@ -28,8 +29,8 @@
 	return w
 }
 
-// run reads one byte ahead, unless there is one. From then on the client's end stands behind bytes of its next request,
-// which stay in the operating system, and so the system is polled for it.
+// run reads one byte ahead, unless bytes were read ahead already. From then on a disconnect follows the unread bytes of
+// the next request, which stay in the socket's receive buffer, so run polls the operating system for it.
 func (w *watch) run() {
 	defer close(w.done)
 	if len(w.conn.readAhead) == 0 {
@@ -56,7 +57,7 @@
 	close(w.gone)
 }
 
-// stop ends the watch. It does not touch the connection afterwards.
+// stop ends the watch. The watch does not use the connection after stop has returned.
 func (w *watch) stop() {
 	close(w.stopped)
 	setReadDeadline(w.conn.Conn, ended)
--- a/internal/sidecar/frontend/set.go
+++ b/internal/sidecar/frontend/set.go
@@ -1,6 +1,6 @@
-// Package frontend keeps the listeners at which clients reach the sidecar, and a server for each. The set of listeners can
-// change while they serve, in two steps: Prepare binds what is new, and only Commit lets anything take effect. It knows
-// no protocol: servers are those of package frontend/http.
+// Package frontend manages the listeners at which clients reach the sidecar, and a server for each. The set of
+// listeners can change while they serve, in two steps: Prepare binds new listeners, and Commit puts the whole change
+// into effect. The package knows no protocol: its servers are those of package frontend/http.
 package frontend
 
 import (
@@ -17,7 +17,8 @@
 	"fieldrelay/internal/sidecar/socket"
 )
 
-// A listener that is removed waits until its backlog is accepted: up to backlogTimeout, checked at each interval.
+// A removed listener is shut down once its backlog is accepted, or after backlogTimeout. The backlog is checked every
+// backlogPollInterval.
 const (
 	backlogTimeout      = 500 * time.Millisecond
 	backlogPollInterval = 5 * time.Millisecond
@@ -25,48 +26,48 @@
 
 // Server serves the clients of one listener. Its methods may be called from any goroutine.
 type Server interface {
-	// Serve answers the connections of ln until Shutdown. It is called once.
+	// Serve serves the connections of ln until Shutdown. It is called once.
 	Serve(ln net.Listener) error
-	// SetMaxConns bounds the connections that are open at a time. It may be called before Serve.
+	// SetMaxConns bounds the number of open connections. It may be called before Serve.
 	SetMaxConns(conns int)
-	// TrimIdle closes the connections that have carried no request for a while, to free their bytes.
+	// TrimIdle closes the connections that have carried no request for a while, to free memory.
 	TrimIdle()
-	// Pause lets readiness say no and ends connections once they are idle, until Resume.
+	// Pause makes the readiness check fail and closes idle connections, until Resume.
 	Pause()
 	// Resume ends a pause.
 	Resume()
-	// MarkNotReady lets readiness say no; all else goes on.
+	// MarkNotReady makes the readiness check fail; requests are still served.
 	MarkNotReady()
-	// Shutdown closes the listener, ends idle connections and waits until all requests are answered, or returns the
+	// Shutdown closes the listener and the idle connections and waits until all requests are answered, or returns the
 	// error of ctx.
 	Shutdown(ctx context.Context) error
 }
 
-// ListenerError is the error of a listener that cannot be opened or cannot go on.
+// ListenerError is the error of a listener that cannot be opened or has failed while serving.
 type ListenerError struct {
-	Address string // as in the settings
+	Address string // listener address as written in the settings
 	Err     error
 }
 
-// Error names the listener as the settings do.
+// Error returns the cause, preceded by the listener's address as written in the settings.
 func (e *ListenerError) Error() string { return fmt.Sprintf("front %s: %v", e.Address, e.Err) }
 
 // Unwrap returns the cause.
 func (e *ListenerError) Unwrap() error { return e.Err }
 
-// errNamedTwice is the cause for an address that settings name twice.
+// errNamedTwice is the cause for an address that occurs twice in the settings.
 var errNamedTwice = errors.New("named twice")
 
-// Set is the listeners that serve. One goroutine uses it; Servers may be called from any.
+// Set is the set of active listeners. It is for use by one goroutine, except that Servers may be called from any.
 type Set struct {
 	newServer    func(Listener) Server
 	log          zerolog.Logger
-	inherited    map[string]net.Listener // handed over by the process before this one and not used yet, by address
-	drainTimeout time.Duration           // for the requests at a listener that is removed
+	inherited    map[string]net.Listener // listeners handed over by the previous process and not used yet, by address
+	drainTimeout time.Duration           // bounds the wait for the requests at a removed listener
 	failed       chan error
 
-	mu      sync.Mutex          // guards running for Servers
-	running map[string]*serving // by address
+	mu      sync.Mutex          // guards running against concurrent calls of Servers
+	running map[string]*serving // active listeners by address
 }
 
 // serving is a listener and its server.
@@ -76,28 +77,28 @@
 	ln       net.Listener
 }
 
-// NewSet returns a set that serves nothing yet. newServer makes the server of a listener. inherited are listeners that are
-// open already, by address; CloseUnused closes those that no settings name. drainTimeout bounds the wait for the requests
-// at a listener that is removed.
+// NewSet returns a set without active listeners. newServer creates the server of a listener. inherited holds listeners
+// that are already open, by address; CloseUnused closes those that the settings do not use. drainTimeout bounds the
+// wait for the requests at a removed listener.
 func NewSet(newServer func(Listener) Server, inherited map[string]net.Listener, drainTimeout time.Duration,
 	log zerolog.Logger) *Set {
 	return &Set{newServer: newServer, log: log, inherited: inherited, drainTimeout: drainTimeout,
 		running: map[string]*serving{}, failed: make(chan error, 1)}
 }
 
-// Failed receives the error of a listener that cannot go on, a *ListenerError.
+// Failed returns a channel that receives the *ListenerError of the first listener that fails while serving.
 func (s *Set) Failed() <-chan error { return s.failed }
 
-// Change is a prepared change of the set. Either Commit or Abort ends it.
+// Change is a prepared change of the set. It must be ended by either Commit or Abort.
 type Change struct {
 	set       *Set
-	bound     []*serving // new ones, not serving yet
-	remaining []Listener // new settings of those that stay
-	removed   []*serving
+	bound     []*serving // new listeners, bound but not serving yet
+	remaining []Listener // new settings of the listeners that stay
+	removed   []*serving // listeners to remove
 }
 
-// Prepare binds the wanted listeners that do not serve yet. With an error, a *ListenerError, nothing is bound and nothing
-// has changed.
+// Prepare binds the wanted listeners that are not active yet. If it returns an error, which is a *ListenerError, no
+// listener is left bound and the set is unchanged.
 func (s *Set) Prepare(want []Listener) (*Change, error) {
 	c := &Change{set: s}
 	named := map[string]bool{}
@@ -129,18 +130,18 @@
 	return c, nil
 }
 
-// Abort closes what was bound.
+// Abort closes the newly bound listeners, except inherited ones.
 func (c *Change) Abort() {
 	for _, b := range c.bound {
 		if c.set.inherited[b.settings.Address] == nil {
-			_ = b.ln.Close() // it has served nobody
+			_ = b.ln.Close() // no connection has been served
 			b.removeSocketFile()
 		}
 	}
 	c.bound = nil
 }
 
-// Commit lets the new listeners serve and drains the removed ones, without waiting for that.
+// Commit starts serving the new listeners and drains the removed ones. It does not wait for the drains.
 func (c *Change) Commit() {
 	s := c.set
 	s.mu.Lock()
@@ -156,12 +157,12 @@
 	}
 	for _, r := range c.removed {
 		delete(s.running, r.settings.Address)
-		r.removeSocketFile() // before its listener closes: none may bind in between and lose its file
+		r.removeSocketFile() // before the listener closes, since afterwards another listener may own a file of that name
 		go s.drain(r)
 	}
 }
 
-// open lets a bound listener serve. The lock is held.
+// open starts serving a bound listener. s.mu must be held.
 func (s *Set) open(b *serving) {
 	delete(s.inherited, b.settings.Address)
 	b.Server = s.newServer(b.settings)
@@ -173,13 +174,13 @@
 		if err := b.Serve(b.ln); err != nil && !errors.Is(err, net.ErrClosed) {
 			select {
 			case s.failed <- &ListenerError{b.settings.Address, err}:
-			default: // the first failure ends the process
+			default: // an earlier failure is reported already, and ends the process
 			}
 		}
 	}()
 }
 
-// drain shuts down a listener that was removed.
+// drain shuts down a removed listener.
 func (s *Set) drain(r *serving) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.drainTimeout)
 	defer cancel()
@@ -188,15 +189,15 @@
 	s.log.Info().Str("listener", r.settings.Address).Err(err).Msg("listener closed")
 }
 
-// CloseUnused closes the inherited listeners that are not used.
+// CloseUnused closes the inherited listeners that no committed change has used.
 func (s *Set) CloseUnused() {
 	for address, ln := range s.inherited {
-		_ = ln.Close() // nothing of it is used any more
+		_ = ln.Close() // nothing depends on the result
 		delete(s.inherited, address)
 	}
 }
 
-// Servers returns the servers of the present listeners.
+// Servers returns the servers of the active listeners.
 func (s *Set) Servers() []Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -207,7 +208,7 @@
 	return all
 }
 
-// Listeners returns the present listeners by address.
+// Listeners returns the active listeners by address.
 func (s *Set) Listeners() map[string]net.Listener {
 	all := map[string]net.Listener{}
 	for address, r := range s.running {
@@ -216,8 +217,8 @@
 	return all
 }
 
-// Shutdown shuts down all servers at once, waits until all requests are answered, and returns the first error. With
-// handedOver the files of Unix sockets stay, since another process serves there.
+// Shutdown shuts down all servers concurrently, waits until all requests are answered, and returns the first error. If
+// handedOver is set, the files of Unix sockets stay, since another process now serves these sockets.
 func (s *Set) Shutdown(ctx context.Context, handedOver bool) error {
 	ended := make(chan error, len(s.running))
 	for _, r := range s.running {
@@ -235,7 +236,8 @@
 	return first
 }
 
-// waitForBacklog waits until no connection waits to be accepted: those that do when a listener closes are reset.
+// waitForBacklog waits until no connection waits to be accepted: closing a listener resets the connections in its
+// backlog.
 func (s *serving) waitForBacklog() {
 	for end := time.Now().Add(backlogTimeout); socket.Pending(s.ln) && time.Now().Before(end); {
 		<-time.After(backlogPollInterval)
@@ -244,11 +246,11 @@
 
 func (s *serving) removeSocketFile() {
 	if path, unix := s.settings.path(); unix {
-		_ = os.Remove(path) // a file that stays is replaced by the next Bind
+		_ = os.Remove(path) // if the file stays, the next Bind replaces it
 	}
 }
 
-// setMode sets the mode of a Unix socket's file as the settings now say.
+// setMode sets the mode of a Unix socket's file to that of the current settings.
 func (s *serving) setMode(log zerolog.Logger) {
 	path, unix := s.settings.path()
 	mode, err := s.settings.mode()
@@ -256,6 +258,6 @@
 		return
 	}
 	if err := os.Chmod(path, mode); err != nil {
-		log.Error().Err(err).Str("path", path).Msg("mode of socket not set")
+		log.Error().Err(err).Str("path", path).Msg("setting the mode of the socket file failed")
 	}
 }
--- a/internal/sidecar/frontend/settings.go
+++ b/internal/sidecar/frontend/settings.go
@@ -12,22 +12,22 @@
 	unixPrefix         = "unix:"
 	defaultMode        = 0o600
 	defaultConnections = 64
-	maxSocketPath      = 100 // bytes; the system takes 107 (unix(7), sun_path)
+	maxSocketPath      = 100 // bytes; the operating system allows 107 (unix(7), sun_path)
 )
 
-// Settings are the section front of the operator's file.
+// Settings is the section front of the operator's settings file.
 type Settings struct {
-	HTTP []Listener `toml:"http"` // further HTTP listeners, beside the platform's
+	HTTP []Listener `toml:"http"` // HTTP listeners in addition to the platform's
 }
 
-// Listener are the settings of a listener.
+// Listener holds the settings of a listener.
 type Listener struct {
 	Address     string `toml:"listen"`      // host:port, or unix: and a path
-	Mode        string `toml:"mode"`        // of a Unix socket's file, in octal digits; 0600 if empty
-	Connections int    `toml:"connections"` // that are open at a time; 64 if 0
+	Mode        string `toml:"mode"`        // mode of a Unix socket's file, in octal digits; 0600 if empty
+	Connections int    `toml:"connections"` // maximum number of open connections; 64 if 0
 }
 
-// MaxConns is the number of connections that may be open at a time.
+// MaxConns returns the maximum number of open connections.
 func (l *Listener) MaxConns() int {
 	if l.Connections == 0 {
 		return defaultConnections
@@ -35,7 +35,7 @@
 	return l.Connections
 }
 
-// path is the path of a Unix socket.
+// path returns the path of a Unix socket, and whether the address is that of a Unix socket.
 func (l *Listener) path() (path string, unix bool) { return strings.CutPrefix(l.Address, unixPrefix) }
 
 func (l *Listener) mode() (os.FileMode, error) {
@@ -49,8 +49,8 @@
 	return os.FileMode(mode), err
 }
 
-// Check calls fault for each key whose value cannot be used, with what was read and what is allowed. conns is the number
-// of connections for all these listeners together.
+// Check calls fault for each key with an invalid value, with the value read and the values allowed. conns is the
+// maximum total number of connections of all these listeners.
 func (s *Settings) Check(conns int, fault func(key string, read any, allowed string)) {
 	seen := map[string]bool{}
 	left := conns
@@ -70,7 +70,8 @@
 	}
 }
 
-// allowedAddress says which addresses are allowed if this one is not, or is among those seen; else it returns "".
+// allowedAddress returns "" if the address is valid and not among those seen; otherwise it describes the allowed
+// addresses.
 func (l *Listener) allowedAddress(seen map[string]bool) string {
 	path, unix := l.path()
 	_, port, err := net.SplitHostPort(l.Address)
