--- a/internal/sidecar/frontend/http/pause.go
+++ b/internal/sidecar/frontend/http/pause.go
@@ -3,10 +3,10 @@
 import "time"
 
 // While a server is paused, a connection is closed once it has been idle for pausedIdleTimeout, which is checked every
-// pauseCheckInterval.
+// pausePollInterval.
 const (
-	pausedIdleTimeout  = 300 * time.Millisecond
-	pauseCheckInterval = 100 * time.Millisecond
+	pausedIdleTimeout = 300 * time.Millisecond
+	pausePollInterval = 100 * time.Millisecond
 )
 
 // Pause makes /ready fail and closes every connection once it is idle, until Resume. Requests are answered as before.
@@ -20,7 +20,7 @@
 // endIdleUntil closes idle connections until resumed is closed or the server shuts down. The shutdown closes them
 // itself.
 func (s *Server) endIdleUntil(resumed <-chan struct{}) {
-	tick := time.NewTicker(pauseCheckInterval)
+	tick := time.NewTicker(pausePollInterval)
 	defer tick.Stop()
 	for !s.closing.Load() {
 		if l := s.listener.Load(); l != nil {
