--- a/internal/sidecar/transport/http/contract_test.go
+++ b/internal/sidecar/transport/http/contract_test.go
@@ -30,11 +30,11 @@
 
 func TestTransportContract(t *testing.T) { contract.Run(t, contract.TransportClauses, transports) }
 
-// bent is a transport that is wrong on purpose.
+// faultyTransport is a transport that breaks one clause of the contract on purpose.
 type faultyTransport struct {
 	relay.Transport
 	wrong string
-	t     *testing.T // at whose end a server left open is closed
+	t     *testing.T // closes servers left open when the test ends
 }
 
 type faultyServer struct {
@@ -85,13 +85,13 @@
 	}
 }
 
-// Each clause has a transport that breaks it, and is named.
+// Each clause of the contract must detect the faulty transport that breaks it.
 func TestBrokenTransportsAreNamed(t *testing.T) {
 	for i, wrong := range []string{"twice", "again", "stray", "waits", "gone", "open"} {
 		m := transports
 		m.New = func(inner contract.T) relay.Transport { return faultyTransport{transports.New(inner), wrong, t} }
 		if clause := contract.TransportClauses[i]; clause.Check(t, m) == nil {
-			t.Errorf("%s: not named for a transport that is wrong by %q", clause.Name, wrong)
+			t.Errorf("%s: the clause accepts a transport with the fault %q", clause.Name, wrong)
 		}
 	}
 }
--- a/internal/sidecar/transport/http/leak_test.go
+++ b/internal/sidecar/transport/http/leak_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// After every test, faults and all, no reader, writer or actor of a node is left.
+// TestMain fails if the tests leave a reader, a writer or an actor of a server running.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/sidecar/transport/http/races_test.go
+++ b/internal/sidecar/transport/http/races_test.go
@@ -16,18 +16,18 @@
 	"fieldrelay/internal/testkit/scenario"
 )
 
-// crossing is a server whose attempts can be delayed at each point where another event may come first: in their dial, and just
-// before their first byte, where the request is asked whether its client is still there.
+// race is a server whose attempts can be delayed at each point where another event may come first: during their dial, and just
+// before their first byte, where send calls ClientGone.
 type race struct {
 	*scenario.Stage
 	ln      net.Listener
 	node    *server
-	release chan struct{}      // closed at the end
-	dials   chan chan struct{} // of each dial: closed to let it go on; dials go on at once while this is nil
+	release chan struct{}      // closed when the test ends
+	dials   chan chan struct{} // receives a channel from each dial, which waits until that is closed; nil: dials do not wait
 }
 
-// slowReader is a connection whose reads, once that is set, take what has come from the system and hand it on at the end of
-// the test only: as where the goroutine that reads gets no turn for a while.
+// slowReader is a connection whose reads, once slow is set, take bytes from the socket but return only at the end of the test,
+// as if the reading goroutine were not scheduled for a while.
 type slowReader struct {
 	*net.TCPConn
 	slow, took atomic.Bool
@@ -69,7 +69,7 @@
 	return x
 }
 
-// in does something on the server's actor.
+// in runs do on the server's actor and waits for it.
 func (x *race) in(do func()) {
 	done := make(chan struct{})
 	x.node.mailbox.Put(func() {
@@ -79,8 +79,8 @@
 	<-done
 }
 
-// A second copy of an answer that comes late is taken for no other answer: where answers differ it is known, and ends the
-// attempt on its connection.
+// A late second copy of an answer must not be taken for the answer to the next attempt on the connection. If answers are known
+// to differ, the copy is recognized, and the attempt ends as reset.
 func TestALateSecondCopyIsNoAnswer(t *testing.T) {
 	x := newRace(t, Options{SettleTime: time.Minute}, false)
 	for digest := range uint64(minDistinct) {
@@ -98,8 +98,8 @@
 		a wait`)
 }
 
-// Where nothing tells a copy (answers may be alike, or not enough of them are known) a connection settles after each, so that a
-// late copy comes on one that nobody has asked; and an answer like the one before is one.
+// If a copy cannot be recognized, since answers may be equal or too few are known, a connection must settle after each answer,
+// so that a late copy arrives on a connection without an attempt. After that an answer equal to the previous one is accepted.
 func TestAnswersAlikeAreAnswers(t *testing.T) {
 	newRace(t, Options{SettleTime: time.Minute}, false).Play(t, `
 		attempt send 1
@@ -123,8 +123,8 @@
 		wait 2 done hi`)
 }
 
-// The second of two rejections alike, on a connection that had not settled, may be a copy of the first: it does not prove that
-// its request never ran.
+// The second of two equal rejections on a connection that had not settled may be a copy of the first. It must be reported as
+// errored, since it does not prove that its request never ran.
 func TestALateSecondRejectionProvesNothing(t *testing.T) {
 	const busy = "HTTP/1.1 503 E\\r\\nX-Rejected: 1\\r\\nContent-Length: 0\\r\\n\\r\\n"
 	x := newRace(t, Options{SettleTime: time.Minute}, false)
@@ -151,7 +151,7 @@
 		wait 2 busy`)
 }
 
-// An answer that differs from the one before is one, however soon its connection was asked again.
+// An answer that differs from the previous one must be accepted even if its connection had not settled.
 func TestAnswersThatDifferNeedNoRest(t *testing.T) {
 	x := newRace(t, Options{SettleTime: time.Minute}, false)
 	for digest := range uint64(minDistinct) {
@@ -168,8 +168,9 @@
 		wait 2 done ho`)
 }
 
-// What a server sends between the choice of its connection and the first byte of an attempt is no answer to that attempt, and its
-// end then costs no attempt: nothing has left, so another connection carries the attempt.
+// Bytes that a server sends between the assignment of its connection and the first byte of an attempt must not be taken for the
+// answer to that attempt. If the server closes the connection then, the attempt must go to another connection, since none of
+// its bytes was sent.
 func TestANodeSpeaksBetweenChoiceAndWrite(t *testing.T) {
 	for name, cross := range map[string]func(server net.Conn) error{
 		"a second copy": func(server net.Conn) error {
@@ -198,7 +199,7 @@
 			x.Calls["crossed"] = func(id string) {
 				c := newAttempt(id, time.Minute)
 				asked := false
-				c.Payload.ClientGone = func() bool { // the last question before the first byte
+				c.Payload.ClientGone = func() bool { // called by send just before the first byte
 					if asked {
 						return false
 					}
@@ -215,7 +216,7 @@
 					if err := cross(server); err != nil {
 						t.Error(err)
 					}
-					scenario.Await(t, "it has come", func() bool {
+					scenario.Await(t, "the bytes or the end of the connection have arrived", func() bool {
 						return conn.broken.Load() || socket.Unread(conn.nc) || slow.took.Load()
 					})
 					return false
@@ -235,7 +236,7 @@
 	}
 }
 
-// An attempt whose dial hangs is carried by the connection that comes to rest first.
+// An attempt whose dial hangs must be sent on the first other connection that becomes available.
 func TestASlowDialHoldsNothingUp(t *testing.T) {
 	x := newRace(t, Options{}, true)
 	x.Calls["dial"] = func(string) { close(<-x.dials) }
@@ -254,17 +255,17 @@
 		wait 2 done hi`)
 	close(hung)
 	scenario.Await(t, "the late connection is kept", func() (kept bool) {
-		x.in(func() { kept = x.node.dials == 0 && len(x.node.idle) == 1 }) // the other one has ended with the scenario
+		x.in(func() { kept = x.node.dials == 0 && len(x.node.idle) == 1 }) // the scenario's end has closed the other connection
 		return kept
 	})
 }
 
-// Nothing of an attempt leaves once its client has gone, its request has its answer, or its window or its grace is over, however
-// late its connection comes up; the connection is kept for others.
+// No byte of an attempt may be sent once its client has gone, its send window is over, or the grace of its server's drain is
+// over, even if its connection opens only after that. The connection must be kept for other attempts.
 func TestNothingBeginsTooLate(t *testing.T) {
 	for name, c := range map[string]struct {
-		before func(c *relay.Attempt) // it is made
-		during func(x *race)          // its dial
+		before func(c *relay.Attempt) // changes the attempt before its start
+		during func(x *race)          // runs during its dial
 	}{
 		"the client has gone": {before: func(c *relay.Attempt) { c.Payload.ClientGone = func() bool { return true } }},
 		"its window is over":  {before: func(c *relay.Attempt) { c.SendBefore = time.Now() }},
@@ -299,7 +300,8 @@
 	}
 }
 
-// A connection that was chosen for an attempt and carried nothing goes on idling from its last answer: the server closes it by that.
+// A connection that was assigned to an attempt which was not sent must keep the idle time since its last answer, since the
+// server closes the connection by that.
 func TestAClaimNotSentIsNoUse(t *testing.T) {
 	x := newRace(t, Options{}, false)
 	x.Calls["aged"] = func(string) {
--- a/internal/sidecar/transport/http/server_test.go
+++ b/internal/sidecar/transport/http/server_test.go
@@ -28,10 +28,10 @@
 	ok    = `HTTP/1.1 ` + reply
 )
 
-// onAnother is an attempt that is served on a second connection.
+// onAnother is a scenario in which a second attempt is served on a second connection.
 const onAnother = "\n attempt send 2\n b expect body\n b send " + ok + "\n wait 2 done hi"
 
-// spoilt is an attempt whose server sends something that is not an answer and keeps the connection open.
+// spoilt returns a scenario in which the server sends a malformed answer and keeps the connection open.
 func spoilt(text string) string {
 	return "attempt send 1\n a expect body\n a send " + text + "\n wait 1 reset\n a wait"
 }
@@ -56,7 +56,7 @@
 			a expect body
 			a send HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n
 			wait 1 errored`,
-		"turned away only with the mark": `
+		"an answer is a rejection only with X-Rejected": `
 			attempt send 1
 			a expect body
 			a send HTTP/1.1 503 E\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n
@@ -65,18 +65,18 @@
 			a expect body
 			a send HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n
 			wait 2 errored`,
-		"what breaks after the last byte may have run": `
+		"a request whose connection ends after its last byte may have run": `
 			attempt send 1
 			a expect body
 			a close
 			wait 1 reset`,
-		"half an answer is none": `
+		"a truncated answer is a reset": `
 			attempt send 1
 			a expect body
 			a send HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi
 			a close
 			wait 1 reset`,
-		"1xx answers may stand in front": `
+		"1xx responses may precede the answer": `
 			attempt send 1
 			a expect body
 			a send HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n` + ok + `
@@ -86,21 +86,21 @@
 			a expect body
 			a send HTTP/1.1 200 OK\r\nX-Load-Report: {"queue":\r\nContent-Length: 2\r\n\r\nhi
 			wait 1 done hi`,
-		// What stands behind an answer would be taken for the answer to the next attempt.
-		"a connection that brings more than an answer is left": `
+		// Bytes that follow an answer would be taken for the answer to the next attempt.
+		"a connection with bytes after the answer is closed": `
 			attempt send 1
 			a expect body
 			a send ` + ok + `HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong
 			wait 1 done hi
 			a wait` + onAnother,
-		"what comes while nothing is asked ends the connection": `
+		"bytes on an idle connection close it": `
 			attempt send 1
 			a expect body
 			a send ` + ok + `
 			wait 1 done hi
 			a send HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong
 			a wait`,
-		// An answer whose end nothing tells may be a part; an endless or unfinished one costs no more than a moment.
+		// An answer without a stated length may be truncated. An endless or incomplete answer must time out soon.
 		"no length":    spoilt(`HTTP/1.1 200 OK\r\n\r\nhi`),
 		"two lengths":  spoilt(`HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhi`),
 		"odd length":   spoilt(`HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi`),
@@ -111,8 +111,8 @@
 		"endless 1xx":  spoilt(strings.Repeat(`HTTP/1.1 100 Continue\r\n\r\n`, maxInterim+1)),
 		"half a head":  spoilt(`HTTP/1.1 200 OK\r\nConte`),
 		"half a body":  spoilt(`HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi`),
-		// A second copy counts as out while the first connection is open.
-		"an attempt is given up by closing its connection": `
+		// An attempt counts as in flight while its connection is open.
+		"a canceled attempt closes its connection": `
 			attempt send 1
 			a expect body
 			cancel send 1
@@ -123,34 +123,34 @@
 			a expect body
 			wait 1 timed out
 			a wait`,
-		// A request written to a connection whose end has come would be lost.
+		// A request written to a connection that the server has closed would be lost.
 		"an idle connection's end is noticed at once": `
 			attempt send 1
 			a expect body
 			a send HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi
 			wait 1 done hi
 			a wait` + onAnother,
-		"idle connections are given back": `
+		"CloseIdle closes idle connections": `
 			attempt send 1
 			a expect body
 			a send ` + ok + `
 			wait 1 done hi
 			release send now
 			a wait`,
-		"a server that drains keeps no idle connection": `
+		"connections to a draining server are closed when idle": `
 			attempt send 1
 			a expect body
 			drain send 0
 			a send ` + ok + `
 			wait 1 done hi
 			a wait`,
-		// An attempt that waited in the mailbox or for its connection must not reach a server that drains for long.
+		// An attempt that waited in the mailbox or for its connection must not be sent after the drain grace.
 		"nothing is written once the grace of a drain is over": `
 			drain send 1000
 			attempt send 1
 			wait 1 skipped
 			a wait`,
-		"no socket is left": `
+		"an attempt beyond the maximum number of connections is skipped": `
 			attempt send 1
 			a expect body
 			attempt send 2
@@ -161,7 +161,7 @@
 			wait 1 canceled
 			cancel send 2
 			wait 2 canceled`,
-		"a server that leaves closes what is idle": `
+		"Close closes idle connections": `
 			attempt send 1
 			a expect body
 			a send ` + ok + `
@@ -173,7 +173,7 @@
 			ln := scenario.Listen(t)
 			stage := scenario.NewStage(scenario.Accepter(ln))
 			gate := budget.NewGate(8<<20, 9)
-			var jobs sync.Map // what each holds until its attempt is reported
+			var jobs sync.Map // charge of each request, released when its attempt is reported
 			f := openTransport(gate)
 			n := f.Open(relay.Member{Addr: ln.Addr().String()}, func(id relay.AttemptID, r relay.Result) {
 				reportTo(stage)(id, r)
@@ -198,18 +198,19 @@
 			}
 			stage.Play(t, strings.ReplaceAll(steps, "\t", ""))
 			n.Close()
-			scenario.Await(t, "every byte has come back", func() bool { return gate.State().Sum() == 0 })
+			scenario.Await(t, "all charges are released", func() bool { return gate.State().Sum() == 0 })
 		})
 	}
 }
 
-// An answer waits in the system until there are bytes for it, and an attempt given up meanwhile waits no more.
+// An answer must stay in the socket's buffer until the byte budget admits it. If its attempt is canceled meanwhile, the wait
+// must end.
 func TestAnswersWaitForBytes(t *testing.T) {
 	const reply = `a send HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi all ok`
 	for name, steps := range map[string]string{
-		"until they are there":    "room send now\n wait 1 done hi all ok",
-		"until it is given up":    "cancel send 1\n wait 1 canceled\n a wait",
-		"until the server leaves": "cancel send 1\n wait 1 canceled\n leave send now\n a wait",
+		"until the budget has bytes": "room send now\n wait 1 done hi all ok",
+		"until it is canceled":       "cancel send 1\n wait 1 canceled\n a wait",
+		"until the server is closed": "cancel send 1\n wait 1 canceled\n leave send now\n a wait",
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln := scenario.Listen(t)
@@ -226,12 +227,13 @@
 			stage.Calls["room"] = func(string) { full.Release() }
 			stage.Play(t, "attempt send 1\n a expect body\n "+reply+"\n waiting send for it\n "+steps)
 			n.Close()
-			scenario.Await(t, "every byte has come back", func() bool { return gate.State().Sum() == gate.State().Reserved[budget.Lists] })
+			scenario.Await(t, "all charges are released", func() bool { return gate.State().Sum() == gate.State().Reserved[budget.Lists] })
 		})
 	}
 }
 
-// A request may end while the attempt that was given up for it is still being written: its bytes are not given back before.
+// A request may end while a canceled attempt of it is still being written. Its charge must not be released before that write
+// has ended.
 func TestBytesAreChargedWhileTheyAreWritten(t *testing.T) {
 	ln := scenario.Listen(t)
 	if err := ln.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
@@ -241,7 +243,7 @@
 	gate := budget.NewGate(64<<20, 9)
 	n := openMember(t, stage, relay.Member{Addr: ln.Addr().String()}, gate)
 	c := newAttempt("1", time.Minute)
-	c.Payload.Body = make([]byte, 32<<20) // more than the system takes for a peer that does not read
+	c.Payload.Body = make([]byte, 32<<20) // more than the socket buffers hold if the peer does not read
 	c.Payload.Charge = gate.ForceReserve(budget.Requests, int64(len(c.Payload.Body)))
 	n.Start(c)
 	peer, err := ln.Accept()
@@ -254,15 +256,15 @@
 	}
 	c.Payload.Charge.Release()
 	if held := gate.State().Reserved[budget.Requests]; held == 0 {
-		t.Error("bytes came back while they were written")
+		t.Error("the charge was released while the body was being written")
 	}
 	n.Cancel(c.ID)
 	stage.Play(t, "wait 1 canceled")
-	scenario.Await(t, "the body's bytes have come back", func() bool { return gate.State().Reserved[budget.Requests] == 0 })
+	scenario.Await(t, "the charge of the body is released", func() bool { return gate.State().Reserved[budget.Requests] == 0 })
 	n.Close()
 }
 
-// What cannot connect never ran.
+// An attempt whose connection cannot be opened must be reported as refused.
 func TestNoConnectionIsRefused(t *testing.T) {
 	ln := scenario.Listen(t)
 	if err := ln.Close(); err != nil {
@@ -274,7 +276,7 @@
 	stage.Play(t, "attempt send 1\n wait 1 refused")
 }
 
-// A list may name a server first when it drains already; the grace counts from then.
+// If a server is draining when it is first listed, the grace counts from the time of that entry.
 func TestDrainingFromTheStart(t *testing.T) {
 	ln := scenario.Listen(t)
 	stage := scenario.NewStage(scenario.Accepter(ln))
@@ -284,8 +286,8 @@
 	stage.Play(t, "attempt send 1\n wait 1 skipped\n a wait nothing")
 }
 
-// The word that a request has left whole may come after its answer: the attempt ends once both are there, with its
-// connection ready for the next one.
+// An answer can arrive before the message that its request was written completely. The attempt must be reported only after both,
+// with its connection idle and ready for the next attempt.
 func TestAnswerOvertakesTheWrite(t *testing.T) {
 	near, _ := net.Pipe()
 	reports := 0
@@ -302,17 +304,17 @@
 	}
 }
 
-// What a server sends behind an answer may still be on its way: a connection that has just answered rests, and of those that
-// have rested the one used last serves, so that the others are retired. Where none has, the one that rests longest serves, or
-// none if answers may be alike.
+// Bytes that a server sends after an answer may still be on their way, so a connection settles after each answer. takeIdle must
+// return the settled connection used last, so that the others expire. If none has settled, it must return the one that has been
+// idle for longest, or none if answers may be equal.
 func TestConnectionsSettleBetweenAttempts(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct {
-		rested []time.Duration // ago, in the order of use
-		want   int
-		alike  bool
+		rested []time.Duration // time since the last use of each connection, the least recently used first
+		want   int             // index of the connection to be taken; -1: none
+		alike  bool            // two answers were equal
 	}{
-		"all have rested":  {[]time.Duration{3 * time.Minute, 2 * time.Minute, time.Minute}, 2, true},
+		"all have settled": {[]time.Duration{3 * time.Minute, 2 * time.Minute, time.Minute}, 2, true},
 		"the last has not": {[]time.Duration{3 * time.Minute, 2 * time.Minute, 0}, 1, true},
 		"none has":         {[]time.Duration{0, 0, 0}, 0, false},
 		"none, alike":      {[]time.Duration{0, 0, 0}, -1, true},
@@ -333,7 +335,7 @@
 			left = 3
 		}
 		if got := slices.Index(idle, n.takeIdle()); got != c.want || len(n.idle) != left {
-			t.Errorf("%s: connection %d, want %d", name, got, c.want)
+			t.Errorf("%s: took connection %d, want %d, and all others left idle", name, got, c.want)
 		}
 	}
 }
@@ -353,7 +355,7 @@
 		DrainGrace: 500 * time.Millisecond, MaxConns: 2, Gate: gate}, zerolog.Nop())
 }
 
-// reportTo passes results to a stage.
+// reportTo returns a report function that passes results to a stage as events.
 func reportTo(stage *scenario.Stage) func(relay.AttemptID, relay.Result) {
 	return func(id relay.AttemptID, r relay.Result) {
 		r.Charge.Release()
@@ -361,7 +363,7 @@
 	}
 }
 
-// newAttempt returns an attempt of the request of a number, which times out after a time.
+// newAttempt returns an attempt of the request whose number is id. It times out after timeout.
 func newAttempt(id string, timeout time.Duration) relay.Attempt {
 	c := relay.Attempt{Deadline: time.Now().Add(timeout), Payload: &relay.Payload{
 		Method: "POST", Target: "/pay//a/../b?q=%41", Body: []byte("body"), CallID: "c1", IdempotencyKey: "k"}}
@@ -371,7 +373,7 @@
 	return c
 }
 
-// Where bytes are short, a connection that has been idle for long goes, and one that the next attempt may need stays.
+// TrimIdle must close a connection that has been idle for longer than minIdleTime, and keep one that the next attempt may need.
 func TestTrimLeavesWhatIsInUse(t *testing.T) {
 	near, _ := net.Pipe()
 	n := &server{transport: NewTransport(Options{}, zerolog.Nop()), mailbox: mailbox.New(), conns: map[*conn]bool{}}
@@ -384,6 +386,6 @@
 	n.mailbox.Close()
 	n.mailbox.Run()
 	if len(n.idle) != 1 || n.idle[0] != young {
-		t.Errorf("%d connections are left", len(n.idle))
+		t.Errorf("%d idle connections left, want only the one that was just used", len(n.idle))
 	}
 }
