--- a/internal/sidecar/transport/http/contract_test.go
+++ b/internal/sidecar/transport/http/contract_test.go
@@ -33,19 +33,19 @@
 // faultyTransport is a transport that breaks one clause of the contract on purpose.
 type faultyTransport struct {
 	relay.Transport
-	wrong string
+	fault string
 	t     *testing.T // closes servers left open when the test ends
 }
 
 type faultyServer struct {
 	relay.Server
-	wrong  string
+	fault  string
 	report func(relay.AttemptID, relay.Result)
 }
 
 func (b faultyTransport) Open(m relay.Member, report func(relay.AttemptID, relay.Result)) relay.Server {
-	n := &faultyServer{wrong: b.wrong, report: report}
-	switch b.wrong {
+	n := &faultyServer{fault: b.fault, report: report}
+	switch b.fault {
 	case "twice":
 		report = func(id relay.AttemptID, r relay.Result) { n.report(id, r); n.report(id, r) }
 	case "stray":
@@ -63,35 +63,35 @@
 
 func (n *faultyServer) Start(c relay.Attempt) {
 	n.Server.Start(c)
-	if n.wrong == "again" && c.ID.Request > 1 && c.ID.Request%2 == 1 {
+	if n.fault == "again" && c.ID.Request > 1 && c.ID.Request%2 == 1 {
 		again := c
 		again.ID.Attempt = 1
 		n.Server.Start(again)
 	}
-	if n.wrong == "waits" && c.ID.Request >= 100 {
+	if n.fault == "waits" && c.ID.Request >= 100 {
 		<-time.After(300 * time.Millisecond)
 	}
 }
 
 func (n *faultyServer) Update(m relay.Member) {
-	if n.wrong != "gone" {
+	if n.fault != "gone" {
 		n.Server.Update(m)
 	}
 }
 
 func (n *faultyServer) Close() {
-	if n.wrong != "open" {
+	if n.fault != "open" {
 		n.Server.Close()
 	}
 }
 
 // Each clause of the contract must detect the faulty transport that breaks it.
 func TestBrokenTransportsAreNamed(t *testing.T) {
-	for i, wrong := range []string{"twice", "again", "stray", "waits", "gone", "open"} {
+	for i, fault := range []string{"twice", "again", "stray", "waits", "gone", "open"} {
 		m := transports
-		m.New = func(inner contract.T) relay.Transport { return faultyTransport{transports.New(inner), wrong, t} }
+		m.New = func(inner contract.T) relay.Transport { return faultyTransport{transports.New(inner), fault, t} }
 		if clause := contract.TransportClauses[i]; clause.Check(t, m) == nil {
-			t.Errorf("%s: the clause accepts a transport with the fault %q", clause.Name, wrong)
+			t.Errorf("%s: the clause accepts a transport with the fault %q", clause.Name, fault)
 		}
 	}
 }
--- a/internal/sidecar/transport/http/races_test.go
+++ b/internal/sidecar/transport/http/races_test.go
@@ -21,7 +21,7 @@
 type race struct {
 	*scenario.Stage
 	ln      net.Listener
-	node    *server
+	server  *server
 	release chan struct{}      // closed when the test ends
 	dials   chan chan struct{} // receives a channel from each dial, which waits until that is closed; nil: dials do not wait
 }
@@ -30,24 +30,24 @@
 // as if the reading goroutine were not scheduled for a while.
 type slowReader struct {
 	*net.TCPConn
-	slow, took atomic.Bool
-	release    chan struct{}
+	slow, hasRead atomic.Bool
+	release       chan struct{}
 }
 
 func (c *slowReader) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if c.slow.Load() {
-		c.took.Store(true)
+		c.hasRead.Store(true)
 		<-c.release
 	}
 	return n, err
 }
 
-func newRace(t *testing.T, opts Options, held bool) *race {
+func newRace(t *testing.T, opts Options, holdDials bool) *race {
 	x := &race{ln: scenario.Listen(t), release: make(chan struct{})}
 	x.Stage = scenario.NewStage(scenario.Accepter(x.ln))
 	opts.DialTimeout, opts.ConnIdle, opts.DrainGrace, opts.MaxConns = time.Minute, time.Minute, time.Minute, 9
-	if held {
+	if holdDials {
 		x.dials = make(chan chan struct{}, 9)
 	}
 	opts.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -63,16 +63,16 @@
 		return &slowReader{TCPConn: nc.(*net.TCPConn), release: x.release}, nil
 	}
 	t.Cleanup(func() { close(x.release) })
-	x.node = NewTransport(opts, zerolog.Nop()).Open(relay.Member{Addr: x.ln.Addr().String()}, reportTo(x.Stage)).(*server)
-	t.Cleanup(x.node.Close)
-	x.Calls["attempt"] = func(id string) { x.node.Start(newAttempt(id, time.Minute)) }
+	x.server = NewTransport(opts, zerolog.Nop()).Open(relay.Member{Addr: x.ln.Addr().String()}, reportTo(x.Stage)).(*server)
+	t.Cleanup(x.server.Close)
+	x.Calls["attempt"] = func(id string) { x.server.Start(newAttempt(id, time.Minute)) }
 	return x
 }
 
 // in runs do on the server's actor and waits for it.
 func (x *race) in(do func()) {
 	done := make(chan struct{})
-	x.node.mailbox.Put(func() {
+	x.server.mailbox.Put(func() {
 		defer close(done)
 		do()
 	})
@@ -84,7 +84,7 @@
 func TestALateSecondCopyIsNoAnswer(t *testing.T) {
 	x := newRace(t, Options{SettleTime: time.Minute}, false)
 	for digest := range uint64(minDistinct) {
-		x.node.transport.answers.add(digest)
+		x.server.transport.answers.add(digest)
 	}
 	x.Play(t, `
 		attempt send 1
@@ -129,7 +129,7 @@
 	const busy = "HTTP/1.1 503 E\\r\\nX-Rejected: 1\\r\\nContent-Length: 0\\r\\n\\r\\n"
 	x := newRace(t, Options{SettleTime: time.Minute}, false)
 	for digest := range uint64(minDistinct) {
-		x.node.transport.answers.add(digest)
+		x.server.transport.answers.add(digest)
 	}
 	x.Play(t, `
 		attempt send 1
@@ -152,10 +152,10 @@
 }
 
 // An answer that differs from the previous one must be accepted even if its connection had not settled.
-func TestAnswersThatDifferNeedNoRest(t *testing.T) {
+func TestDistinctAnswersNeedNoSettling(t *testing.T) {
 	x := newRace(t, Options{SettleTime: time.Minute}, false)
 	for digest := range uint64(minDistinct) {
-		x.node.transport.answers.add(digest)
+		x.server.transport.answers.add(digest)
 	}
 	x.Play(t, `
 		attempt send 1
@@ -171,7 +171,7 @@
 // Bytes that a server sends between the assignment of its connection and the first byte of an attempt must not be taken for the
 // answer to that attempt. If the server closes the connection then, the attempt must go to another connection, since none of
 // its bytes was sent.
-func TestANodeSpeaksBetweenChoiceAndWrite(t *testing.T) {
+func TestUnrequestedBytesBeforeTheWrite(t *testing.T) {
 	for name, cross := range map[string]func(server net.Conn) error{
 		"a second copy": func(server net.Conn) error {
 			_, err := io.WriteString(server, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
@@ -206,7 +206,7 @@
 					asked = true
 					chosen := make(chan *conn, 1)
 					x.in(func() {
-						for conn := range x.node.conns {
+						for conn := range x.server.conns {
 							chosen <- conn
 						}
 					})
@@ -217,11 +217,11 @@
 						t.Error(err)
 					}
 					scenario.Await(t, "the bytes or the end of the connection have arrived", func() bool {
-						return conn.broken.Load() || socket.Unread(conn.nc) || slow.took.Load()
+						return conn.broken.Load() || socket.Unread(conn.nc) || slow.hasRead.Load()
 					})
 					return false
 				}
-				x.node.Start(c)
+				x.server.Start(c)
 			}
 			x.Play(t, `
 				attempt send 1
@@ -237,7 +237,7 @@
 }
 
 // An attempt whose dial hangs must be sent on the first other connection that becomes available.
-func TestASlowDialHoldsNothingUp(t *testing.T) {
+func TestSlowDialDoesNotDelayAttempts(t *testing.T) {
 	x := newRace(t, Options{}, true)
 	x.Calls["dial"] = func(string) { close(<-x.dials) }
 	var hung chan struct{}
@@ -255,7 +255,7 @@
 		wait 2 done hi`)
 	close(hung)
 	scenario.Await(t, "the late connection is kept", func() (kept bool) {
-		x.in(func() { kept = x.node.dials == 0 && len(x.node.idle) == 1 }) // the scenario's end has closed the other connection
+		x.in(func() { kept = x.server.dials == 0 && len(x.server.idle) == 1 }) // the scenario's end has closed the other connection
 		return kept
 	})
 }
@@ -270,17 +270,17 @@
 		"the client has gone": {before: func(c *relay.Attempt) { c.Payload.ClientGone = func() bool { return true } }},
 		"its window is over":  {before: func(c *relay.Attempt) { c.SendBefore = time.Now() }},
 		"its server drains": {during: func(x *race) {
-			x.node.Update(relay.Member{ListedAt: time.Now().Add(-time.Hour), Server: drains})
+			x.server.Update(relay.Member{ListedAt: time.Now().Add(-time.Hour), Server: drains})
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newRace(t, Options{}, true)
 			x.Calls["attempt"] = func(id string) {
-				claim := newAttempt(id, time.Minute)
+				attempt := newAttempt(id, time.Minute)
 				if c.before != nil {
-					c.before(&claim)
+					c.before(&attempt)
 				}
-				x.node.Start(claim)
+				x.server.Start(attempt)
 			}
 			x.Calls["dial"] = func(string) {
 				gate := <-x.dials
@@ -289,7 +289,7 @@
 				}
 				close(gate)
 			}
-			x.Calls["leave"] = func(string) { x.node.Close() }
+			x.Calls["leave"] = func(string) { x.server.Close() }
 			x.Play(t, `
 				attempt send 1
 				dial send on
@@ -302,15 +302,15 @@
 
 // A connection that was assigned to an attempt which was not sent must keep the idle time since its last answer, since the
 // server closes the connection by that.
-func TestAClaimNotSentIsNoUse(t *testing.T) {
+func TestUnsentAttemptKeepsIdleTime(t *testing.T) {
 	x := newRace(t, Options{}, false)
 	x.Calls["aged"] = func(string) {
-		x.in(func() { x.node.idle[0].idleSince = time.Now().Add(-time.Minute) })
+		x.in(func() { x.server.idle[0].idleSince = time.Now().Add(-time.Minute) })
 	}
 	x.Calls["gone"] = func(id string) {
 		c := newAttempt(id, time.Minute)
 		c.Payload.ClientGone = func() bool { return true }
-		x.node.Start(c)
+		x.server.Start(c)
 	}
 	x.Play(t, `
 		attempt send 1
--- a/internal/sidecar/transport/http/server_test.go
+++ b/internal/sidecar/transport/http/server_test.go
@@ -28,11 +28,11 @@
 	ok    = `HTTP/1.1 ` + reply
 )
 
-// onAnother is a scenario in which a second attempt is served on a second connection.
-const onAnother = "\n attempt send 2\n b expect body\n b send " + ok + "\n wait 2 done hi"
+// servedOnSecondConn is a scenario in which a second attempt is served on a second connection.
+const servedOnSecondConn = "\n attempt send 2\n b expect body\n b send " + ok + "\n wait 2 done hi"
 
-// spoilt returns a scenario in which the server sends a malformed answer and keeps the connection open.
-func spoilt(text string) string {
+// malformedAnswer returns a scenario in which the server sends a malformed answer and keeps the connection open.
+func malformedAnswer(text string) string {
 	return "attempt send 1\n a expect body\n a send " + text + "\n wait 1 reset\n a wait"
 }
 
@@ -92,7 +92,7 @@
 			a expect body
 			a send ` + ok + `HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong
 			wait 1 done hi
-			a wait` + onAnother,
+			a wait` + servedOnSecondConn,
 		"bytes on an idle connection close it": `
 			attempt send 1
 			a expect body
@@ -101,16 +101,16 @@
 			a send HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong
 			a wait`,
 		// An answer without a stated length may be truncated. An endless or incomplete answer must time out soon.
-		"no length":    spoilt(`HTTP/1.1 200 OK\r\n\r\nhi`),
-		"two lengths":  spoilt(`HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhi`),
-		"odd length":   spoilt(`HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi`),
-		"3 GB":         spoilt(`HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhi`),
-		"3 GB chunk":   spoilt(`HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nb2d05e00\r\nhi`),
-		"noise":        spoilt(`\x00\x17 noise 200 noise\r\n\r\n`),
-		"endless head": spoilt(`HTTP/1.1 200 OK\r\n` + strings.Repeat(`X-More: of the same\r\n`, 400)),
-		"endless 1xx":  spoilt(strings.Repeat(`HTTP/1.1 100 Continue\r\n\r\n`, maxInterim+1)),
-		"half a head":  spoilt(`HTTP/1.1 200 OK\r\nConte`),
-		"half a body":  spoilt(`HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi`),
+		"no length":    malformedAnswer(`HTTP/1.1 200 OK\r\n\r\nhi`),
+		"two lengths":  malformedAnswer(`HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhi`),
+		"odd length":   malformedAnswer(`HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi`),
+		"3 GB":         malformedAnswer(`HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhi`),
+		"3 GB chunk":   malformedAnswer(`HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nb2d05e00\r\nhi`),
+		"noise":        malformedAnswer(`\x00\x17 noise 200 noise\r\n\r\n`),
+		"endless head": malformedAnswer(`HTTP/1.1 200 OK\r\n` + strings.Repeat(`X-More: of the same\r\n`, 400)),
+		"endless 1xx":  malformedAnswer(strings.Repeat(`HTTP/1.1 100 Continue\r\n\r\n`, maxInterim+1)),
+		"half a head":  malformedAnswer(`HTTP/1.1 200 OK\r\nConte`),
+		"half a body":  malformedAnswer(`HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi`),
 		// An attempt counts as in flight while its connection is open.
 		"a canceled attempt closes its connection": `
 			attempt send 1
@@ -129,7 +129,7 @@
 			a expect body
 			a send HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi
 			wait 1 done hi
-			a wait` + onAnother,
+			a wait` + servedOnSecondConn,
 		"CloseIdle closes idle connections": `
 			attempt send 1
 			a expect body
@@ -173,22 +173,22 @@
 			ln := scenario.Listen(t)
 			stage := scenario.NewStage(scenario.Accepter(ln))
 			gate := budget.NewGate(8<<20, 9)
-			var jobs sync.Map // charge of each request, released when its attempt is reported
+			var charges sync.Map // charge of each request, released when its attempt is reported
 			f := openTransport(gate)
 			n := f.Open(relay.Member{Addr: ln.Addr().String()}, func(id relay.AttemptID, r relay.Result) {
 				reportTo(stage)(id, r)
-				held, _ := jobs.Load(id.Request)
-				held.(*budget.Charge).Release()
+				charge, _ := charges.Load(id.Request)
+				charge.(*budget.Charge).Release()
 			})
-			claim := func(patience time.Duration) func(string) {
+			startAttempt := func(timeout time.Duration) func(string) {
 				return func(id string) {
-					c := newAttempt(id, patience)
+					c := newAttempt(id, timeout)
 					c.Payload.Charge = gate.ForceReserve(budget.Requests, 4)
-					jobs.Store(c.ID.Request, c.Payload.Charge)
+					charges.Store(c.ID.Request, c.Payload.Charge)
 					n.Start(c)
 				}
 			}
-			stage.Calls["attempt"], stage.Calls["soon"] = claim(time.Minute), claim(500*time.Millisecond)
+			stage.Calls["attempt"], stage.Calls["soon"] = startAttempt(time.Minute), startAttempt(500*time.Millisecond)
 			stage.Calls["cancel"] = func(id string) { n.Cancel(newAttempt(id, 0).ID) }
 			stage.Calls["release"] = func(string) { n.CloseIdle() }
 			stage.Calls["leave"] = func(string) { n.Close() }
@@ -310,9 +310,9 @@
 func TestConnectionsSettleBetweenAttempts(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct {
-		rested []time.Duration // time since the last use of each connection, the least recently used first
-		want   int             // index of the connection to be taken; -1: none
-		alike  bool            // two answers were equal
+		idleFor []time.Duration // time since the last use of each connection, the least recently used first
+		want    int             // index of the connection to be taken; -1: none
+		alike   bool            // two answers were equal
 	}{
 		"all have settled": {[]time.Duration{3 * time.Minute, 2 * time.Minute, time.Minute}, 2, true},
 		"the last has not": {[]time.Duration{3 * time.Minute, 2 * time.Minute, 0}, 1, true},
@@ -326,7 +326,7 @@
 		if c.alike {
 			n.transport.answers.add(0)
 		}
-		for _, ago := range c.rested {
+		for _, ago := range c.idleFor {
 			n.idle = append(n.idle, &conn{answered: true, idleSince: now.Add(time.Second / 2).Add(-ago), idleTimer: time.NewTimer(time.Minute)})
 		}
 		idle := slices.Clone(n.idle)
@@ -377,8 +377,8 @@
 func TestTrimLeavesWhatIsInUse(t *testing.T) {
 	near, _ := net.Pipe()
 	n := &server{transport: NewTransport(Options{}, zerolog.Nop()), mailbox: mailbox.New(), conns: map[*conn]bool{}}
-	for _, rested := range []time.Duration{time.Minute, 0} {
-		c := &conn{server: n, nc: near, closed: make(chan struct{}), idleSince: time.Now().Add(-rested), idleTimer: time.NewTimer(time.Minute)}
+	for _, idleFor := range []time.Duration{time.Minute, 0} {
+		c := &conn{server: n, nc: near, closed: make(chan struct{}), idleSince: time.Now().Add(-idleFor), idleTimer: time.NewTimer(time.Minute)}
 		n.idle, n.conns[c] = append(n.idle, c), true
 	}
 	young := n.idle[1]
