--- a/internal/sidecar/frontend/http/lifecycle_test.go
+++ b/internal/sidecar/frontend/http/lifecycle_test.go
@@ -20,12 +20,12 @@
 	"fieldrelay/internal/testkit/scenario"
 )
 
-// start serves ln until the server is shut down, or for the rest of the tests.
+// start serves ln in the background until the server is shut down or the test process ends.
 func start(s *Server, ln net.Listener) {
 	go func() { _ = s.Serve(ln) }()
 }
 
-// play serves a server with so many connections at ln and plays a scenario against it.
+// play runs a server at ln with the given maximum number of connections and plays a scenario against it.
 func play(t *testing.T, ln net.Listener, conns int, steps string) {
 	t.Helper()
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
@@ -39,11 +39,11 @@
 		go func() { stage.Event(fmt.Sprint("shut down ", f.Shutdown(context.Background()))) }()
 	}
 	stage.Play(t, steps)
-	scenario.Await(t, "every byte has come back", func() bool { return gate.State().Sum() == 0 })
+	scenario.Await(t, "all charges are released", func() bool { return gate.State().Sum() == 0 })
 }
 
-// What the system has accepted when the sidecar shuts down is served: a connection in the queue of a listener that closes
-// would be reset with the request on it. Here the one slot is taken, so that b surely stands in the queue.
+// A shutdown must serve the connections in the backlog: closing the listener would reset them and lose their requests. Here the
+// only connection slot is taken, so that b is certainly in the backlog.
 func TestShutdownServesTheBacklog(t *testing.T) {
 	play(t, scenario.Listen(t), 1, `
 		a send GET /look`+head+`\r\n
@@ -62,7 +62,7 @@
 		wait shut down <nil>`)
 }
 
-// A request of which the shutdown finds the first byte alone is read to its end and answered.
+// A request of which only the first byte has arrived at the shutdown must be read completely and answered.
 func TestShutdownReadsARequestThatHasBegun(t *testing.T) {
 	ln := scenario.Listen(t)
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
@@ -105,7 +105,8 @@
 		wait shut down <nil>`)
 }
 
-// An answer reaches a client that has sent ahead what nobody is going to read: its connection does not end by a reset.
+// An answer must reach a client that has sent further bytes which the server does not read: the close must not reset the
+// connection before the client has the answer.
 func TestShutdownDeliversTheAnswerPastUnreadBytes(t *testing.T) {
 	ln := scenario.Listen(t)
 	gate := budget.NewGate(8<<20, 9)
@@ -122,7 +123,7 @@
 		t.Fatal(err)
 	}
 	request := strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace("GET /look" + head + `\r\n`)
-	if _, err := io.WriteString(nc, strings.Repeat(request, 500)); err != nil { // more than the server's buffer takes
+	if _, err := io.WriteString(nc, strings.Repeat(request, 500)); err != nil { // more than the server's read buffer holds
 		t.Fatal(err)
 	}
 	body := strings.Repeat("x", relay.MaxBodySize)
@@ -137,14 +138,14 @@
 	}
 	got, err := io.ReadAll(nc)
 	if err != nil || !strings.HasSuffix(string(got), body) || strings.Count(string(got), "200 OK") != 1 {
-		t.Errorf("of an answer of %d bytes %d arrived, then %v", len(body), len(got), err)
+		t.Errorf("answer with a body of %d bytes: received %d bytes in all, error %v", len(body), len(got), err)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// scarce is a listener for which the system has no descriptor left, as long as that is set.
+// scarce is a listener whose Accept fails for lack of descriptors while none is set.
 type scarce struct {
 	net.Listener
 	none  atomic.Bool
@@ -159,7 +160,8 @@
 	return l.Listener.Accept()
 }
 
-// Where no descriptor is left the sidecar goes on serving, does not spin, and takes connections once there is one again.
+// If accept fails for lack of descriptors, Serve must not end, must not retry in a busy loop, and must accept connections once
+// there is a descriptor again.
 func TestNoDescriptorLeftEndsNoService(t *testing.T) {
 	ln := &scarce{Listener: scenario.Listen(t)}
 	ln.none.Store(true)
@@ -169,10 +171,10 @@
 	begun := time.Now()
 	served := make(chan error, 1)
 	go func() { served <- f.Serve(ln) }()
-	scenario.Await(t, "it is tried again", func() bool { return ln.calls.Load() >= 4 })
-	// One more at first, and one for the limit that was set, which may have made room.
+	scenario.Await(t, "accept is retried", func() bool { return ln.calls.Load() >= 4 })
+	// One call more for the first attempt, and one for SetMaxConns, which signals released.
 	if most := int64(time.Since(begun)/acceptRetryInterval) + 2; ln.calls.Load() > most {
-		t.Errorf("accept was called %d times, %d at the most", ln.calls.Load(), most)
+		t.Errorf("accept was called %d times, want at most %d", ln.calls.Load(), most)
 	}
 	ln.none.Store(false)
 	stage.Play(t, `
@@ -186,7 +188,8 @@
 	}
 }
 
-// A client's end is reported as soon as the system knows of it, whether or not it was read, and not before.
+// Payload.Wanted must return false as soon as the operating system knows that the client has disconnected, even if bytes before
+// the end of the connection are unread, and must return true until then.
 func TestDepartedIsToldAtOnce(t *testing.T) {
 	ln := scenario.Listen(t)
 	r := &scriptedRelay{scenario.NewStage(nil), budget.NewGate(8<<20, 9), make(chan relay.Request, 9)}
@@ -203,11 +206,11 @@
 	}
 	req := <-r.requests
 	if !req.Payload.Wanted() {
-		t.Error("not wanted though its client waits")
+		t.Error("Wanted is false while the client waits")
 	}
 	if err := nc.Close(); err != nil {
 		t.Fatal(err)
 	}
-	scenario.Await(t, "the client's end is reported", func() bool { return !req.Payload.Wanted() })
-	r.requests <- req // for the withdrawal, which takes it from there
+	scenario.Await(t, "Wanted reports the disconnect", func() bool { return !req.Payload.Wanted() })
+	r.requests <- req // Withdraw receives the request from this channel
 }
--- a/internal/sidecar/frontend/http/server_test.go
+++ b/internal/sidecar/frontend/http/server_test.go
@@ -15,7 +15,7 @@
 	"fieldrelay/internal/testkit/scenario"
 )
 
-// scriptedRelay stands in for the relay: it records each call and answers as the scenario says.
+// scriptedRelay is a fake relay: it records each call as an event and answers as the scenario says.
 type scriptedRelay struct {
 	stage    *scenario.Stage
 	gate     *budget.Gate
@@ -35,7 +35,7 @@
 func (s *scriptedRelay) Withdraw(id uint64) {
 	s.stage.Event(fmt.Sprint("withdrawn ", id))
 	req := <-s.requests
-	req.Answer(relay.Answer{Charge: s.gate.ForceReserve(budget.Answers, 9)}) // it crosses the withdrawal
+	req.Answer(relay.Answer{Charge: s.gate.ForceReserve(budget.Answers, 9)}) // the answer races with the withdrawal
 	req.Payload.Charge.Release()
 }
 func (s *scriptedRelay) Ready() bool { return true }
@@ -57,7 +57,8 @@
 
 const head = ` HTTP/1.1\r\nHost: o\r\nX-Call-Id: c1\r\nX-Budget: 0.5\r\n`
 
-// unreadable is a request that is answered by an error and the end of its connection, with all that stands behind it.
+// unreadable returns a scenario in which a malformed request is answered by 400 and the end of the connection, and the request
+// that follows it is not served.
 func unreadable(text string) string {
 	return `a send POST /pay` + head + `Idempotency-Key: k\r\n` + text + `GET /look` + head + `\r\n` + "\n a expect HTTP/1.1 400\n a wait"
 }
@@ -81,38 +82,38 @@
 			wait request look GET /look hint=0s
 			relay send failed
 			a expect 502`,
-		// fasthttp does not notify a handler that its client has gone.
+		// fasthttp does not notify a handler that its client has disconnected.
 		"a client that leaves withdraws its request": `
 			a send GET /look` + head + `\r\n
 			wait request look GET /look hint=0s
 			a close
 			wait withdrawn 7`,
-		// Its end stands behind the bytes of a next request, which nobody reads yet.
-		"a client that sends ahead and leaves withdraws its request": `
+		// The end of the connection follows the bytes of the next request, which are not read yet.
+		"a client that pipelines a request and leaves withdraws its request": `
 			a send GET /look` + head + `\r\n
 			wait request look GET /look hint=0s
 			a send GET /look/2` + head + `\r\n
 			a close
 			wait withdrawn 7`,
-		"a client that sends much at once and leaves withdraws its request": `
+		"a client that pipelines many requests and leaves withdraws its request": `
 			a send ` + strings.Repeat(`GET /look`+head+`\r\n`, 200) + `
 			wait request look GET /look hint=0s
 			a close
 			wait withdrawn 7`,
-		"a client that sends ahead and ends its sending gets no answer that no server made": `
+		"a client that pipelines a request and half-closes gets no answer": `
 			a send GET /look` + head + `\r\n
 			wait request look GET /look hint=0s
 			a send GET /look/2` + head + `\r\n
 			a half-close
 			wait withdrawn 7
 			a wait nothing`,
-		"a client that only ends its sending gets no answer that no server made": `
+		"a client that half-closes gets no answer": `
 			a send GET /look` + head + `\r\n
 			wait request look GET /look hint=0s
 			a half-close
 			wait withdrawn 7
 			a wait nothing`,
-		// An answer must not wait for the request behind it.
+		// An answer must not be delayed until the next request has arrived.
 		"two requests at once": `
 			a send GET /look` + head + `\r\nGET /look/2` + head + `\r\n
 			wait request look GET /look hint=0s
@@ -121,7 +122,7 @@
 			wait request look GET /look/2 hint=0s
 			relay send served two
 			a expect two`,
-		// The watch during a request reads the first byte of what follows; it must not be lost.
+		// The watch during a request reads the first byte of the next request, which must not be lost.
 		"the next request may come early": `
 			a send GET /look` + head + `\r\n
 			wait request look GET /look hint=0s
@@ -131,7 +132,7 @@
 			wait request look GET /look/2 hint=0s
 			relay send served two
 			a expect two`,
-		// Bad input is answered by the front and reaches no server.
+		// Malformed requests are rejected by the HTTP server and do not reach the relay.
 		"no id":      `a send GET /look HTTP/1.1\r\nHost: o\r\nX-Budget: 1\r\n\r\n` + "\n a expect 400",
 		"odd id":     `a send GET /look HTTP/1.1\r\nHost: o\r\nX-Budget: 1\r\nX-Call-Id: a b\r\n\r\n` + "\n a expect 400",
 		"no budget":  `a send GET /look HTTP/1.1\r\nHost: o\r\nX-Call-Id: c\r\n\r\n` + "\n a expect 400",
@@ -139,13 +140,13 @@
 		"odd hint":   `a send GET /look` + head + `X-Call-Cost: -1\r\n\r\n` + "\n a expect 400",
 		"no key":     `a send POST /pay` + head + `Content-Length: 0\r\n\r\n` + "\n a expect 400",
 		"odd key":    `a send POST /once` + head + `Idempotency-Key: a b\r\nContent-Length: 0\r\n\r\n` + "\n a expect 400",
-		// A single-shot class needs no key: it is sent once in any case.
+		// A request of an unsafe class needs no idempotency key: it is sent only once anyway.
 		"single shot without a key": `
 			a send POST /once` + head + `Content-Length: 2\r\n\r\nhi
 			wait request once POST /oncehi hint=0s
 			relay send served done
 			a expect done`,
-		// The tenant is one of the settings; another, a malformed one, or two are rejected before any server.
+		// The tenant must be one of the settings. An unknown or malformed tenant, or two headers, are rejected.
 		"a tenant of the settings": `
 			a send GET /look` + head + `X-Caller: novakovi\r\n\r\n
 			wait request look GET /look hint=0s caller=novakovi
@@ -161,8 +162,8 @@
 		"hex budget":      `a send GET /look HTTP/1.1\r\nHost: o\r\nX-Call-Id: c\r\nX-Budget: 0x1\r\n\r\n` + "\n a expect 400",
 		"two ids":         `a send GET /look` + head + `X-Call-Id: c2\r\n\r\n` + "\n a expect 400",
 		"two budgets":     `a send GET /look` + head + `X-Budget: 2\r\n\r\n` + "\n a expect 400",
-		// A body whose length is stated in two ways, or in none that can be, may hide another request: nothing of it is
-		// read as one, here or at a server.
+		// A body with two stated lengths or an invalid one may hide another request (request smuggling): no part of it may
+		// be taken for a request, here or at a server.
 		"both lengths":     unreadable(`Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n`),
 		"both, other way":  unreadable(`transfer-encoding: chunked\r\ncontent-length: 5\r\n\r\n0\r\n\r\n`),
 		"identity":         unreadable(`Content-Length: 2\r\nTransfer-Encoding: identity\r\n\r\nhi`),
@@ -183,8 +184,8 @@
 			relay send duplicate
 			a expect 409`,
 		"ready": `a send GET /ready HTTP/1.1\r\nHost: o\r\n\r\n` + "\n a expect 200",
-		// Paused, /ready says no and ends its connection; an idle connection ends, a taken request is answered
-		// with Connection: close; resumed, /ready says yes again.
+		// While paused, /ready fails and closes its connection, idle connections are closed, and a pending request is
+		// answered with Connection: close. After Resume /ready succeeds again.
 		"pause and resume": `
 			idle send GET /look` + head + `\r\n
 			wait request look GET /look hint=0s
@@ -204,7 +205,7 @@
 			resume send now
 			c send GET /ready HTTP/1.1\r\nHost: o\r\n\r\n
 			c expect 200`,
-		// At a shutdown, what is taken is answered on a connection that then ends, and idle ones end at once.
+		// At a shutdown, a pending request is answered and its connection closed; idle connections are closed at once.
 		"shutdown": `
 			idle send GET /ready HTTP/1.1\r\nHost: o\r\n\r\n
 			idle expect 200
@@ -234,13 +235,13 @@
 				go func() { stage.Event(fmt.Sprint("shut down ", f.Shutdown(context.Background()))) }()
 			}
 			stage.Play(t, steps)
-			scenario.Await(t, "every byte has come back", func() bool { return gate.State().Sum() == 0 })
+			scenario.Await(t, "all charges are released", func() bool { return gate.State().Sum() == 0 })
 		})
 	}
 }
 
-// While the budget has no bytes a body stays unread, and its client learns in time when to retry. Small
-// requests pass.
+// While the byte budget is exhausted, a large body must stay unread, and its client must be told in time when to retry. Small
+// requests must still be served.
 func TestShortOfBytes(t *testing.T) {
 	const post = `POST /pay` + head + `Idempotency-Key: k\r\n`
 	large := strings.Repeat("x", 60<<10)
@@ -263,26 +264,26 @@
 			wait request look GET /look hint=0s
 			relay send served one
 			a expect one`,
-		"small ones pass": `
+		"small requests are served": `
 			a send ` + whole + `
 			b send ` + post + `Content-Length: 2\r\n\r\nhi
 			wait request pay POST /paykhi hint=0s
 			relay send served one
 			b expect one
 			a expect 503`,
-		"served once there is room": `
+		"served once the budget has bytes": `
 			a send ` + whole + `
 			room send now
 			wait request pay POST /payk` + large + ` hint=0s
 			relay send served one
 			a expect one`,
-		"in chunks, once there is room": `
+		"chunked, served once the budget has bytes": `
 			a send ` + inChunks + `
 			room send now
 			wait request pay POST /payk` + large + ` hint=0s
 			relay send served one
 			a expect one`,
-		"a client that stops half way gives its bytes back": `
+		"the charge of an incomplete body is released": `
 			room send now
 			a send ` + whole[:len(whole)-9] + `
 			a expect 408
@@ -308,7 +309,7 @@
 			}
 			for take() == nil {
 			}
-			taken[0].Release() // the rate at which bytes come back is known from this
+			taken[0].Release() // lets the gate estimate the rate at which bytes are released
 			taken = taken[1:]
 			if err := take(); err != nil {
 				t.Fatal(err)
@@ -322,12 +323,12 @@
 			stage.Calls["relay"], stage.Calls["room"] = r.answer, room
 			stage.Play(t, steps)
 			room("")
-			scenario.Await(t, "every byte has come back", func() bool { return gate.State().Sum() == 0 })
+			scenario.Await(t, "all charges are released", func() bool { return gate.State().Sum() == 0 })
 		})
 	}
 }
 
-// One connection over the limit waits for its turn instead of being rejected.
+// A connection beyond the limit must wait until another one ends, and must not be rejected.
 func TestConnectionsBeyondTheLimitWait(t *testing.T) {
 	ln := scenario.Listen(t)
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
@@ -338,7 +339,8 @@
 	stage.Play(t, "a"+ask+"a expect 200\n b"+ask+"a close\n b expect 200")
 }
 
-// Where a connection waits for bytes, one whose request does not go on gives up its own, sooner than its time.
+// If a new connection waits for the byte budget, a connection whose request has stalled must be evicted before its read
+// time-out.
 func TestStalledRequestsMakeRoom(t *testing.T) {
 	ln := scenario.Listen(t)
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
@@ -352,18 +354,19 @@
 	start := time.Now()
 	stage.Play(t, "a send GET /rea\n b send GET /ready HTTP/1.1\\r\\nHost: o\\r\\n\\r\\n\n a expect 408\n a wait\n b expect 200")
 	if took := time.Since(start); took > 2*time.Second {
-		t.Errorf("it took %v", took)
+		t.Errorf("the scenario took %v, want at most 2s", took)
 	}
 }
 
-// Clients that send nothing, stay for good or never finish keep no others out, and are answered in time.
+// Clients that send nothing, never disconnect or never complete a request must not lock out other clients, and an incomplete
+// request must be answered in time.
 func TestSlotsAreFreed(t *testing.T) {
 	const ask = ` send GET /ready HTTP/1.1\r\nHost: o\r\n\r\n` + "\n"
 	const busy = "\n b" + ask + "b expect 200" // there is one slot
 	for name, steps := range map[string]string{
-		"asked once and stayed":   "a" + ask + "a expect \\r\\n\\r\\n" + busy + "\n a wait nothing",
+		"idle after one request":  "a" + ask + "a expect \\r\\n\\r\\n" + busy + "\n a wait nothing",
 		"silent from the start":   "a send " + busy + "\n a wait nothing",
-		"silent with room enough": "a wait nothing",
+		"silent with a free slot": "a wait nothing",
 		"half a head":             "a send GET /rea" + busy + "\n a expect 408",
 		"half a body": `a send POST /pay` + head + `Idempotency-Key: k\r\nContent-Length: 9\r\n\r\nhi
 			a expect 408
@@ -379,7 +382,7 @@
 			start := time.Now()
 			stage.Play(t, steps)
 			if took := time.Since(start); took > 3*time.Second {
-				t.Errorf("it took %v", took)
+				t.Errorf("the scenario took %v, want at most 2s", took)
 			}
 		})
 	}
--- a/internal/sidecar/frontend/set_test.go
+++ b/internal/sidecar/frontend/set_test.go
@@ -20,7 +20,7 @@
 	"fieldrelay/internal/testkit/scenario"
 )
 
-// greeter is a server that greets whoever connects and then waits for a byte, which it answers.
+// greeter is a server that greets each client, waits for one byte and answers it.
 type greeter struct {
 	mu    sync.Mutex
 	ln    net.Listener
@@ -38,7 +38,7 @@
 			return err
 		}
 		g.open.Go(func() {
-			// The tests look at what arrives, so errors need no report here.
+			// Errors are ignored: the tests check what the client receives.
 			_, _ = io.WriteString(nc, "hello")
 			_, _ = nc.Read(make([]byte, 1))
 			_, _ = io.WriteString(nc, "bye")
@@ -72,9 +72,9 @@
 	}, nil, time.Minute, zerolog.Nop())
 	t.Cleanup(func() {
 		for address, ln := range s.Listeners() {
-			_ = ln.Close() // it may be closed already
+			_ = ln.Close() // the listener may be closed already
 			if path, unix := strings.CutPrefix(address, unixPrefix); unix {
-				_ = os.Remove(path) // likewise removed
+				_ = os.Remove(path) // the file may be removed already
 			}
 		}
 	})
@@ -90,7 +90,7 @@
 	c.Commit()
 }
 
-// greeted connects and reads the greeting.
+// greeted connects to address and reads the greeting.
 func greeted(address string) (net.Conn, error) {
 	network := "tcp"
 	if path, unix := strings.CutPrefix(address, unixPrefix); unix {
@@ -114,7 +114,7 @@
 	}
 }
 
-// free returns an address that nobody listens at.
+// free returns an address without a listener.
 func free(t *testing.T) string {
 	t.Helper()
 	ln := scenario.Listen(t)
@@ -122,7 +122,7 @@
 	return ln.Addr().String()
 }
 
-// A removed listener answers the requests that it has accepted and accepts nothing more; its address can be bound again.
+// A removed listener must serve the connections that it has accepted and accept no more. Its address can be bound again.
 func TestFrontsComeAndGo(t *testing.T) {
 	s, made := newSet(t)
 	a, b := Listener{Address: free(t)}, Listener{Address: unixPrefix + filepath.Join(t.TempDir(), "b.sock"), Mode: "0640"}
@@ -133,12 +133,12 @@
 	}
 	t.Cleanup(func() { _ = open.Close() })
 	if info, err := os.Stat(strings.TrimPrefix(b.Address, unixPrefix)); err != nil || info.Mode().Perm() != 0o640 {
-		t.Errorf("%v, %v", info, err)
+		t.Errorf("socket file: %v, error %v; want mode 0640", info, err)
 	}
 	a.Connections = 9
 	apply(t, s, a)
 	if made[a.Address].limit != 9 {
-		t.Errorf("%d connections", made[a.Address].limit)
+		t.Errorf("limit of %d connections after the change, want 9", made[a.Address].limit)
 	}
 	scenario.Await(t, "b accepts nothing more", func() bool {
 		nc, err := greeted(b.Address)
@@ -151,7 +151,7 @@
 		t.Error(err)
 	}
 	if rest, err := io.ReadAll(open); err != nil || string(rest) != "bye" {
-		t.Errorf("what was open got %q, %v", rest, err)
+		t.Errorf("accepted connection received %q, error %v; want bye", rest, err)
 	}
 	apply(t, s, a, b)
 	if nc, err := greeted(b.Address); err != nil {
@@ -161,7 +161,8 @@
 	}
 }
 
-// With one address taken nothing changes: no new listener serves, none is removed, no file is left.
+// If one address cannot be bound, Prepare must change nothing: no new listener serves, none is removed, and no socket file is
+// left.
 func TestNothingChangesIfOneCannotBeBound(t *testing.T) {
 	dir := t.TempDir()
 	taken := scenario.Listen(t).Addr().String()
@@ -178,31 +179,31 @@
 		bad  Listener
 		want error
 	}{
-		"a port that is taken":              {Listener{Address: taken}, syscall.EADDRINUSE},
-		"a socket that another one serves":  {Listener{Address: unixPrefix + filepath.Join(dir, "held.sock")}, syscall.EADDRINUSE},
-		"a file that is no socket":          {Listener{Address: unixPrefix + filepath.Join(dir, "file")}, nil},
-		"a folder that is not there":        {Listener{Address: unixPrefix + filepath.Join(dir, "none", "x")}, os.ErrNotExist},
-		"the same twice, each fine by self": {fresh, nil},
+		"a port in use":                {Listener{Address: taken}, syscall.EADDRINUSE},
+		"a socket in use":              {Listener{Address: unixPrefix + filepath.Join(dir, "held.sock")}, syscall.EADDRINUSE},
+		"a file that is not a socket":  {Listener{Address: unixPrefix + filepath.Join(dir, "file")}, nil},
+		"a missing directory":          {Listener{Address: unixPrefix + filepath.Join(dir, "none", "x")}, os.ErrNotExist},
+		"the same valid address twice": {fresh, nil},
 	} {
 		s, _ := newSet(t)
 		old := Listener{Address: free(t)}
 		apply(t, s, old)
 		_, err := s.Prepare([]Listener{fresh, c.bad})
 		if err == nil || c.want != nil && !errors.Is(err, c.want) {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: unexpected result of Prepare: error %v", name, err)
 		}
 		if nc, err := greeted(old.Address); err != nil {
-			t.Errorf("%s: the old listener: %v", name, err)
+			t.Errorf("%s: connecting to the existing listener: %v", name, err)
 		} else {
 			closeIt(t, nc)
 		}
 		if _, err := os.Lstat(strings.TrimPrefix(fresh.Address, unixPrefix)); !errors.Is(err, os.ErrNotExist) {
-			t.Errorf("%s: the new listener's file: %v", name, err)
+			t.Errorf("%s: socket file of the new listener: error %v, want none to exist", name, err)
 		}
 	}
 }
 
-// The file of a process that was killed is no hindrance.
+// Bind must replace the socket file that a killed process has left, and leave no other file.
 func TestSocketLeftByACrashIsReplaced(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.sock")
 	ln, err := net.Listen("unix", path)
@@ -220,7 +221,7 @@
 	closeIt(t, nc)
 	left, err := os.ReadDir(filepath.Dir(path))
 	if err != nil || len(left) != 1 {
-		t.Errorf("%v, %v", left, err)
+		t.Errorf("files in the directory: %v, error %v; want the socket only", left, err)
 	}
 }
 
