--- a/internal/sidecar/frontend/http/lifecycle_test.go
+++ b/internal/sidecar/frontend/http/lifecycle_test.go
@@ -145,16 +145,16 @@
 	}
 }
 
-// scarce is a listener whose Accept fails for lack of descriptors while none is set.
-type scarce struct {
+// failingListener is a listener whose Accept fails for lack of descriptors while failing is set.
+type failingListener struct {
 	net.Listener
-	none  atomic.Bool
-	calls atomic.Int64
+	failing atomic.Bool
+	calls   atomic.Int64
 }
 
-func (l *scarce) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	l.calls.Add(1)
-	if l.none.Load() {
+	if l.failing.Load() {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
 	return l.Listener.Accept()
@@ -162,9 +162,9 @@
 
 // If accept fails for lack of descriptors, Serve must not end, must not retry in a busy loop, and must accept connections once
 // there is a descriptor again.
-func TestNoDescriptorLeftEndsNoService(t *testing.T) {
-	ln := &scarce{Listener: scenario.Listen(t)}
-	ln.none.Store(true)
+func TestServeSurvivesLackOfDescriptors(t *testing.T) {
+	ln := &failingListener{Listener: scenario.Listen(t)}
+	ln.failing.Store(true)
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
 	f := New(&scriptedRelay{stage: stage}, Options{}, zerolog.Nop())
 	f.SetMaxConns(9)
@@ -176,7 +176,7 @@
 	if most := int64(time.Since(begun)/acceptRetryInterval) + 2; ln.calls.Load() > most {
 		t.Errorf("accept was called %d times, want at most %d", ln.calls.Load(), most)
 	}
-	ln.none.Store(false)
+	ln.failing.Store(false)
 	stage.Play(t, `
 		a send GET /ready HTTP/1.1\r\nHost: o\r\n\r\n
 		a expect 200`)
@@ -190,7 +190,7 @@
 
 // Payload.Wanted must return false as soon as the operating system knows that the client has disconnected, even if bytes before
 // the end of the connection are unread, and must return true until then.
-func TestDepartedIsToldAtOnce(t *testing.T) {
+func TestDisconnectIsReportedAtOnce(t *testing.T) {
 	ln := scenario.Listen(t)
 	r := &scriptedRelay{scenario.NewStage(nil), budget.NewGate(8<<20, 9), make(chan relay.Request, 9)}
 	f := New(r, Options{ClassSettings: []logic.Class{{Name: "look"}}}, zerolog.Nop())
--- a/internal/sidecar/frontend/http/server_test.go
+++ b/internal/sidecar/frontend/http/server_test.go
@@ -63,7 +63,7 @@
 	return `a send POST /pay` + head + `Idempotency-Key: k\r\n` + text + `GET /look` + head + `\r\n` + "\n a expect HTTP/1.1 400\n a wait"
 }
 
-func TestFront(t *testing.T) {
+func TestServer(t *testing.T) {
 	big := fmt.Sprint(relay.MaxBodySize + 1)
 	for name, steps := range map[string]string{
 		"served unchanged, then the next request": `
--- a/internal/sidecar/frontend/set_test.go
+++ b/internal/sidecar/frontend/set_test.go
@@ -65,10 +65,10 @@
 }
 
 func newSet(t *testing.T) (*Set, map[string]*greeter) {
-	made := map[string]*greeter{}
+	servers := map[string]*greeter{}
 	s := NewSet(func(l Listener) Server {
-		made[l.Address] = &greeter{}
-		return made[l.Address]
+		servers[l.Address] = &greeter{}
+		return servers[l.Address]
 	}, nil, time.Minute, zerolog.Nop())
 	t.Cleanup(func() {
 		for address, ln := range s.Listeners() {
@@ -78,7 +78,7 @@
 			}
 		}
 	})
-	return s, made
+	return s, servers
 }
 
 func apply(t *testing.T, s *Set, want ...Listener) {
@@ -123,8 +123,8 @@
 }
 
 // A removed listener must serve the connections that it has accepted and accept no more. Its address can be bound again.
-func TestFrontsComeAndGo(t *testing.T) {
-	s, made := newSet(t)
+func TestListenersAreAddedAndRemoved(t *testing.T) {
+	s, servers := newSet(t)
 	a, b := Listener{Address: free(t)}, Listener{Address: unixPrefix + filepath.Join(t.TempDir(), "b.sock"), Mode: "0640"}
 	apply(t, s, a, b)
 	open, err := greeted(b.Address)
@@ -137,8 +137,8 @@
 	}
 	a.Connections = 9
 	apply(t, s, a)
-	if made[a.Address].limit != 9 {
-		t.Errorf("limit of %d connections after the change, want 9", made[a.Address].limit)
+	if servers[a.Address].limit != 9 {
+		t.Errorf("limit of %d connections after the change, want 9", servers[a.Address].limit)
 	}
 	scenario.Await(t, "b accepts nothing more", func() bool {
 		nc, err := greeted(b.Address)
@@ -166,11 +166,11 @@
 func TestNothingChangesIfOneCannotBeBound(t *testing.T) {
 	dir := t.TempDir()
 	taken := scenario.Listen(t).Addr().String()
-	held, err := net.Listen("unix", filepath.Join(dir, "held.sock"))
+	inUse, err := net.Listen("unix", filepath.Join(dir, "held.sock"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = held.Close() })
+	t.Cleanup(func() { _ = inUse.Close() })
 	if err := os.WriteFile(filepath.Join(dir, "file"), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/relay/differential_test.go
+++ b/internal/sidecar/relay/differential_test.go
@@ -63,7 +63,7 @@
 }
 
 // A relay without an observer and one whose observer admits every attempt must make the same decisions, event by event.
-func TestSameDecisionsWithoutAFleet(t *testing.T) {
+func TestSameDecisionsWithoutAnObserver(t *testing.T) {
 	compared := 0
 	for seed := range uint64(20) {
 		alone, observed := script(t, seed, nil), script(t, seed, &recordingObserver{outcomes: map[string]int{}})
