--- a/internal/sidecar/relay/differential_test.go
+++ b/internal/sidecar/relay/differential_test.go
@@ -11,7 +11,7 @@
 	"fieldrelay/internal/sidecar/logic"
 )
 
-// script plays drawn requests, outcomes and lists to a relay and gives all that it sent to the others, in order.
+// script feeds randomly drawn requests, outcomes and lists to a relay and returns all calls and answers of the relay, in order.
 func script(t *testing.T, seed uint64, o Observer) (lines []string) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := logic.Config{Tick: 5 * time.Millisecond, Classes: []logic.Class{{Name: "safe", Deadline: time.Second, LatencyTarget: 300 * time.Millisecond},
@@ -34,17 +34,17 @@
 			case k < 9 && len(open) > 0:
 				at := rng.IntN(len(open))
 				id := open[at]
-				out, there := false, false
+				pending, exists := false, false
 				b.on(func() {
 					if j := b.requests[id]; j != nil {
-						_, out = j.pending[b.attempts[id].ID.Attempt]
+						_, pending = j.pending[b.attempts[id].ID.Attempt]
 					}
 				})
-				if out {
+				if pending {
 					b.outcome(id, []logic.Outcome{logic.Done, logic.Done, logic.Errored, logic.Busy, logic.Refused, logic.Reset}[rng.IntN(6)], "x")
 				}
-				b.on(func() { there = b.requests[id] != nil })
-				if !there {
+				b.on(func() { exists = b.requests[id] != nil })
+				if !exists {
 					open = slices.Delete(open, at, at+1)
 				}
 			default:
@@ -52,7 +52,7 @@
 				m.State = []logic.State{logic.Ready, logic.Draining}[rng.IntN(2)]
 				b.list(false, m)
 			}
-			time.Sleep(time.Duration(1 + rng.Int64N(int64(30*time.Millisecond)))) // no two timers at one time
+			time.Sleep(time.Duration(1 + rng.Int64N(int64(30*time.Millisecond)))) // so that no two timers fire at the same time
 			synctest.Wait()
 		}
 		time.Sleep(5 * time.Second)
@@ -62,22 +62,22 @@
 	return lines
 }
 
-// Without a fleet, and in one that limits nothing and ejects nothing, the same is decided: event by event, to the word.
-func TestSameDecisionsWithoutAFleet(t *testing.T) {
-	claims := 0
+// A relay without an observer and one whose observer admits every attempt must make the same decisions, event by event.
+func TestSameDecisionsWithoutAnObserver(t *testing.T) {
+	compared := 0
 	for seed := range uint64(20) {
 		alone, observed := script(t, seed, nil), script(t, seed, &recordingObserver{outcomes: map[string]int{}})
 		if !slices.Equal(alone, observed) {
 			t.Fatalf("seed %d:\n%q\n%q", seed, alone, observed)
 		}
-		claims += len(alone)
+		compared += len(alone)
 	}
-	if claims < 4000 {
-		t.Errorf("%d lines compared", claims)
+	if compared < 4000 {
+		t.Errorf("%d lines compared, want at least 4000", compared)
 	}
-	t.Logf("%d lines compared", claims)
-	// It would be noticed.
+	t.Logf("%d lines compared", compared)
+	// Counter-check: an observer that rejects attempts must make a difference.
 	if slices.Equal(script(t, 3, nil), script(t, 3, &recordingObserver{outcomes: map[string]int{}, rejecting: true})) {
-		t.Error("an observer that lets nothing through makes no difference")
+		t.Error("an observer that rejects all attempts makes no difference")
 	}
 }
--- a/internal/sidecar/transport/http/races_test.go
+++ b/internal/sidecar/transport/http/races_test.go
@@ -16,38 +16,38 @@
 	"fieldrelay/internal/testkit/scenario"
 )
 
-// crossing is a server whose attempts can be delayed at each point where another event may come first: in their dial, and just
-// before their first byte, where the request is asked whether its client is still there.
+// race is a server whose attempts can be delayed at each point where another event may come first: during their dial, and just
+// before their first byte, where send calls ClientGone.
 type race struct {
 	*scenario.Stage
 	ln      net.Listener
-	node    *server
-	release chan struct{}      // closed at the end
-	dials   chan chan struct{} // of each dial: closed to let it go on; dials go on at once while this is nil
+	server  *server
+	release chan struct{}      // closed when the test ends
+	dials   chan chan struct{} // receives a channel from each dial, which waits until that is closed; nil: dials do not wait
 }
 
-// slowReader is a connection whose reads, once that is set, take what has come from the system and hand it on at the end of
-// the test only: as where the goroutine that reads gets no turn for a while.
+// slowReader is a connection whose reads, once slow is set, take bytes from the socket but return only at the end of the test,
+// as if the reading goroutine were not scheduled for a while.
 type slowReader struct {
 	*net.TCPConn
-	slow, took atomic.Bool
-	release    chan struct{}
+	slow, hasRead atomic.Bool
+	release       chan struct{}
 }
 
 func (c *slowReader) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if c.slow.Load() {
-		c.took.Store(true)
+		c.hasRead.Store(true)
 		<-c.release
 	}
 	return n, err
 }
 
-func newRace(t *testing.T, opts Options, held bool) *race {
+func newRace(t *testing.T, opts Options, holdDials bool) *race {
 	x := &race{ln: scenario.Listen(t), release: make(chan struct{})}
 	x.Stage = scenario.NewStage(scenario.Accepter(x.ln))
 	opts.DialTimeout, opts.ConnIdle, opts.DrainGrace, opts.MaxConns = time.Minute, time.Minute, time.Minute, 9
-	if held {
+	if holdDials {
 		x.dials = make(chan chan struct{}, 9)
 	}
 	opts.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -63,28 +63,28 @@
 		return &slowReader{TCPConn: nc.(*net.TCPConn), release: x.release}, nil
 	}
 	t.Cleanup(func() { close(x.release) })
-	x.node = NewTransport(opts, zerolog.Nop()).Open(relay.Member{Addr: x.ln.Addr().String()}, reportTo(x.Stage)).(*server)
-	t.Cleanup(x.node.Close)
-	x.Calls["attempt"] = func(id string) { x.node.Start(newAttempt(id, time.Minute)) }
+	x.server = NewTransport(opts, zerolog.Nop()).Open(relay.Member{Addr: x.ln.Addr().String()}, reportTo(x.Stage)).(*server)
+	t.Cleanup(x.server.Close)
+	x.Calls["attempt"] = func(id string) { x.server.Start(newAttempt(id, time.Minute)) }
 	return x
 }
 
-// in does something on the server's actor.
+// in runs do on the server's actor and waits for it.
 func (x *race) in(do func()) {
 	done := make(chan struct{})
-	x.node.mailbox.Put(func() {
+	x.server.mailbox.Put(func() {
 		defer close(done)
 		do()
 	})
 	<-done
 }
 
-// A second copy of an answer that comes late is taken for no other answer: where answers differ it is known, and ends the
-// attempt on its connection.
+// A late second copy of an answer must not be taken for the answer to the next attempt on the connection. If answers are known
+// to differ, the copy is recognized, and the attempt ends as reset.
 func TestALateSecondCopyIsNoAnswer(t *testing.T) {
 	x := newRace(t, Options{SettleTime: time.Minute}, false)
 	for digest := range uint64(minDistinct) {
-		x.node.transport.answers.add(digest)
+		x.server.transport.answers.add(digest)
 	}
 	x.Play(t, `
 		attempt send 1
@@ -98,8 +98,8 @@
 		a wait`)
 }
 
-// Where nothing tells a copy (answers may be alike, or not enough of them are known) a connection settles after each, so that a
-// late copy comes on one that nobody has asked; and an answer like the one before is one.
+// If a copy cannot be recognized, since answers may be equal or too few are known, a connection must settle after each answer,
+// so that a late copy arrives on a connection without an attempt. After that an answer equal to the previous one is accepted.
 func TestAnswersAlikeAreAnswers(t *testing.T) {
 	newRace(t, Options{SettleTime: time.Minute}, false).Play(t, `
 		attempt send 1
@@ -123,13 +123,13 @@
 		wait 2 done hi`)
 }
 
-// The second of two rejections alike, on a connection that had not settled, may be a copy of the first: it does not prove that
-// its request never ran.
+// The second of two equal rejections on a connection that had not settled may be a copy of the first. It must be reported as
+// errored, since it does not prove that its request never ran.
 func TestALateSecondRejectionProvesNothing(t *testing.T) {
 	const busy = "HTTP/1.1 503 E\\r\\nX-Rejected: 1\\r\\nContent-Length: 0\\r\\n\\r\\n"
 	x := newRace(t, Options{SettleTime: time.Minute}, false)
 	for digest := range uint64(minDistinct) {
-		x.node.transport.answers.add(digest)
+		x.server.transport.answers.add(digest)
 	}
 	x.Play(t, `
 		attempt send 1
@@ -151,11 +151,11 @@
 		wait 2 busy`)
 }
 
-// An answer that differs from the one before is one, however soon its connection was asked again.
-func TestAnswersThatDifferNeedNoRest(t *testing.T) {
+// An answer that differs from the previous one must be accepted even if its connection had not settled.
+func TestDistinctAnswersNeedNoSettling(t *testing.T) {
 	x := newRace(t, Options{SettleTime: time.Minute}, false)
 	for digest := range uint64(minDistinct) {
-		x.node.transport.answers.add(digest)
+		x.server.transport.answers.add(digest)
 	}
 	x.Play(t, `
 		attempt send 1
@@ -168,9 +168,10 @@
 		wait 2 done ho`)
 }
 
-// What a server sends between the choice of its connection and the first byte of an attempt is no answer to that attempt, and its
-// end then costs no attempt: nothing has left, so another connection carries the attempt.
-func TestANodeSpeaksBetweenChoiceAndWrite(t *testing.T) {
+// Bytes that a server sends between the assignment of its connection and the first byte of an attempt must not be taken for the
+// answer to that attempt. If the server closes the connection then, the attempt must go to another connection, since none of
+// its bytes was sent.
+func TestUnrequestedBytesBeforeTheWrite(t *testing.T) {
 	for name, cross := range map[string]func(server net.Conn) error{
 		"a second copy": func(server net.Conn) error {
 			_, err := io.WriteString(server, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
@@ -198,14 +199,14 @@
 			x.Calls["crossed"] = func(id string) {
 				c := newAttempt(id, time.Minute)
 				asked := false
-				c.Payload.ClientGone = func() bool { // the last question before the first byte
+				c.Payload.ClientGone = func() bool { // called by send just before the first byte
 					if asked {
 						return false
 					}
 					asked = true
 					chosen := make(chan *conn, 1)
 					x.in(func() {
-						for conn := range x.node.conns {
+						for conn := range x.server.conns {
 							chosen <- conn
 						}
 					})
@@ -215,12 +216,12 @@
 					if err := cross(server); err != nil {
 						t.Error(err)
 					}
-					scenario.Await(t, "it has come", func() bool {
-						return conn.broken.Load() || socket.Unread(conn.nc) || slow.took.Load()
+					scenario.Await(t, "the bytes or the end of the connection have arrived", func() bool {
+						return conn.broken.Load() || socket.Unread(conn.nc) || slow.hasRead.Load()
 					})
 					return false
 				}
-				x.node.Start(c)
+				x.server.Start(c)
 			}
 			x.Play(t, `
 				attempt send 1
@@ -235,8 +236,8 @@
 	}
 }
 
-// An attempt whose dial hangs is carried by the connection that comes to rest first.
-func TestASlowDialHoldsNothingUp(t *testing.T) {
+// An attempt whose dial hangs must be sent on the first other connection that becomes available.
+func TestSlowDialDoesNotDelayAttempts(t *testing.T) {
 	x := newRace(t, Options{}, true)
 	x.Calls["dial"] = func(string) { close(<-x.dials) }
 	var hung chan struct{}
@@ -254,32 +255,32 @@
 		wait 2 done hi`)
 	close(hung)
 	scenario.Await(t, "the late connection is kept", func() (kept bool) {
-		x.in(func() { kept = x.node.dials == 0 && len(x.node.idle) == 1 }) // the other one has ended with the scenario
+		x.in(func() { kept = x.server.dials == 0 && len(x.server.idle) == 1 }) // the scenario's end has closed the other connection
 		return kept
 	})
 }
 
-// Nothing of an attempt leaves once its client has gone, its request has its answer, or its window or its grace is over, however
-// late its connection comes up; the connection is kept for others.
+// No byte of an attempt may be sent once its client has gone, its send window is over, or the grace of its server's drain is
+// over, even if its connection opens only after that. The connection must be kept for other attempts.
 func TestNothingBeginsTooLate(t *testing.T) {
 	for name, c := range map[string]struct {
-		before func(c *relay.Attempt) // it is made
-		during func(x *race)          // its dial
+		before func(c *relay.Attempt) // changes the attempt before its start
+		during func(x *race)          // runs during its dial
 	}{
 		"the client has gone": {before: func(c *relay.Attempt) { c.Payload.ClientGone = func() bool { return true } }},
 		"its window is over":  {before: func(c *relay.Attempt) { c.SendBefore = time.Now() }},
 		"its server drains": {during: func(x *race) {
-			x.node.Update(relay.Member{ListedAt: time.Now().Add(-time.Hour), Server: drains})
+			x.server.Update(relay.Member{ListedAt: time.Now().Add(-time.Hour), Server: drains})
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newRace(t, Options{}, true)
 			x.Calls["attempt"] = func(id string) {
-				claim := newAttempt(id, time.Minute)
+				attempt := newAttempt(id, time.Minute)
 				if c.before != nil {
-					c.before(&claim)
+					c.before(&attempt)
 				}
-				x.node.Start(claim)
+				x.server.Start(attempt)
 			}
 			x.Calls["dial"] = func(string) {
 				gate := <-x.dials
@@ -288,7 +289,7 @@
 				}
 				close(gate)
 			}
-			x.Calls["leave"] = func(string) { x.node.Close() }
+			x.Calls["leave"] = func(string) { x.server.Close() }
 			x.Play(t, `
 				attempt send 1
 				dial send on
@@ -299,16 +300,17 @@
 	}
 }
 
-// A connection that was chosen for an attempt and carried nothing goes on idling from its last answer: the server closes it by that.
-func TestAClaimNotSentIsNoUse(t *testing.T) {
+// A connection that was assigned to an attempt which was not sent must keep the idle time since its last answer, since the
+// server closes the connection by that.
+func TestUnsentAttemptKeepsIdleTime(t *testing.T) {
 	x := newRace(t, Options{}, false)
 	x.Calls["aged"] = func(string) {
-		x.in(func() { x.node.idle[0].idleSince = time.Now().Add(-time.Minute) })
+		x.in(func() { x.server.idle[0].idleSince = time.Now().Add(-time.Minute) })
 	}
 	x.Calls["gone"] = func(id string) {
 		c := newAttempt(id, time.Minute)
 		c.Payload.ClientGone = func() bool { return true }
-		x.node.Start(c)
+		x.server.Start(c)
 	}
 	x.Play(t, `
 		attempt send 1
