--- a/internal/region/placement/admission.go
+++ b/internal/region/placement/admission.go
@@ -9,9 +9,10 @@
 
 // Constants of admission control, which rejects requests only while answers are late and requests queue at servers.
 const (
-	// admitAllSlack is the slack (share of requests answered in time) at and above which every request is admitted.
+	// admitAllSlack is the slack (fraction of requests answered in time) at and above which every request is admitted.
 	admitAllSlack = 0.75
-	// rejectionWindow is how long after a server rejected a request as full requests are assumed to queue at servers.
+	// rejectionWindow is how long requests are assumed to queue at servers after a server rejected a request because the
+	// server was full.
 	rejectionWindow = time.Second
 	// queueingSpeed is the typical server speed below which requests are assumed to queue at servers: answers then take
 	// more than twice the predicted time.
@@ -26,7 +27,7 @@
 	// trickleInterval is the interval at which one request of each route is admitted regardless of its expected wait, so
 	// that no route is starved.
 	trickleInterval = 500 * time.Millisecond
-	// maxTrickledRoutes bounds the number of routes for which the time of the last such admission is stored.
+	// maxTrickledRoutes bounds the number of routes for which the time of the last admission by trickleInterval is stored.
 	maxTrickledRoutes = 4096
 	// minOverloadRetry and maxOverloadRetry bound the RetryAfter of an OverloadError.
 	minOverloadRetry = 200 * time.Millisecond
--- a/internal/region/placement/announcement.go
+++ b/internal/region/placement/announcement.go
@@ -32,7 +32,7 @@
 // during the prefill and know where the shared chunks are cached. It is sent as a datagram and may be lost.
 type Announcement struct {
 	Server uint32 // low half of the xxhash64 of the server's id
-	Prompt uint32 // hash of the model and the shared chunks
+	Prompt uint32 // hash of the prompt's model and shared chunks
 	Tokens int    // prompt tokens that the server has to prefill; 0: nothing is announced
 }
 
--- a/internal/region/placement/attempt.go
+++ b/internal/region/placement/attempt.go
@@ -26,7 +26,7 @@
 	Region         string
 	Expected       time.Duration // predicted time to the first event or byte
 	PrefillTokens  int           // prompt tokens that the server is expected to prefill
-	Announce       Announcement  // to be sent to the other proxies of the region once the attempt is sent
+	Announce       Announcement  // announcement to send to the other proxies of the region once the attempt is sent
 	MaxConnections int           // maximum number of connections of this proxy to the server
 }
 
@@ -41,10 +41,10 @@
 	// nominalLatency only if the cached prefix is an assumption.
 	uncachedLatency    time.Duration
 	prefillTokens      int
-	memoryTokens       int  // maximum number of tokens that it occupies in the server's memory
+	memoryTokens       int  // maximum number of tokens that the attempt occupies in the server's memory
 	unqueued           bool // no other prefill was known to be queued at the server, and prefillTokens was known
-	trial              bool // the only trial request after an ejection
-	countedBySlowStart bool // counted by the slow start limiter
+	trial              bool // the attempt is the only trial request after an ejection of the server
+	countedBySlowStart bool // the slow start limiter has counted the attempt
 	startedAt          time.Duration
 	started            bool
 	beforeStart        serverSnapshot
--- a/internal/region/placement/candidates.go
+++ b/internal/region/placement/candidates.go
@@ -38,10 +38,10 @@
 // one pick.
 type pickBuffers struct {
 	prompt      prompt
-	local       []*server // eligible, in this proxy's region
-	remote      []*server // eligible, in other regions
-	warmingUp   []*server // excluded by the slow start limiter
-	coolingDown []*server
+	local       []*server // eligible servers in this proxy's region
+	remote      []*server // eligible servers in other regions
+	warmingUp   []*server // servers that the slow start limiter excludes
+	coolingDown []*server // servers that are ejected or avoided
 	candidates  []candidate
 	walkServers []*server
 	speeds      []float64
--- a/internal/region/placement/eligibility.go
+++ b/internal/region/placement/eligibility.go
@@ -15,11 +15,11 @@
 const (
 	eligibilityGone eligibility = iota
 	eligibilityEvacuated
-	eligibilityOutsideHome // not in one of the route's home regions
-	eligibilityExcluded    // the request was already sent to it
-	eligibilityWarmingUp   // it is warming up, and this proxy's share of its slow start limit is used up
-	eligibilityFull        // all connections that this proxy may open are in use
-	eligibilityCoolingDown // ejected or avoided: used only if no other server is left
+	eligibilityOutsideHome // the server is outside the route's home regions
+	eligibilityExcluded    // the request was already sent to the server
+	eligibilityWarmingUp   // the server is warming up, and this proxy's share of the slow start limit is used up
+	eligibilityFull        // all connections that this proxy may open to the server are in use
+	eligibilityCoolingDown // the server is ejected or avoided: used only if no other server is left
 	eligible
 )
 
--- a/internal/region/placement/failurereport.go
+++ b/internal/region/placement/failurereport.go
@@ -13,7 +13,7 @@
 	// having observed a failure itself. A single zone does not suffice, since a network partition between it and the
 	// server's zone looks like a failure of the server.
 	minReportingZones = 2
-	// successOverride is how long after a success that this proxy observed itself the reports of others are ignored.
+	// successOverride is how long after a success that this proxy observed itself the failure reports of other proxies are ignored.
 	successOverride = time.Second
 )
 
@@ -46,9 +46,9 @@
 	return zones
 }
 
-// FailureReported records that a new connection from another proxy, in a zone of the region, to a server failed. After
-// a report from one zone, the next attempt of this proxy that gets no answer ejects the server. Reports from two zones
-// eject the server immediately.
+// FailureReported records the report of another proxy of the region that a new connection to a server failed. zone is
+// the zone of that proxy. After a report from one zone, the next attempt of this proxy that gets no answer ejects the
+// server. Reports from two zones eject the server immediately.
 func (p *Placer) FailureReported(now time.Duration, serverID, zone string) {
 	known := p.servers[serverID]
 	if known == nil || p.off(policy.FailureReports) {
--- a/internal/region/placement/placer.go
+++ b/internal/region/placement/placer.go
@@ -30,10 +30,10 @@
 
 // Config is the fixed configuration of a Placer.
 type Config struct {
-	Host      string            // of this machine
-	Zone      string            // of this machine
+	Host      string            // name of this machine
+	Zone      string            // zone of this machine
 	Regions   map[string]string // region of each zone
-	Seed      uint64            // of the random number generator
+	Seed      uint64            // seed of the random number generator
 	SlowStart limits.SlowStartConfig
 	Off       policy.Switches // mechanisms that are switched off
 }
@@ -47,23 +47,23 @@
 	random        *rand.Rand
 	slowStart     *limits.SlowStartLimiter
 	table         *route.Table
-	evacuated     map[string]bool // zones
+	evacuated     map[string]bool // evacuated zones
 	proxies       int             // number of proxies that share the servers; 0: unknown
-	regionProxies int             // proxies of the own region, this one included; 0: unknown
+	regionProxies int             // number of proxies in this proxy's region, this proxy included; 0: unknown
 
-	services     map[string]*service // by name
-	servers      map[string]*server  // by id
-	byKey        map[uint32]*server  // by the low half of their hash
+	services     map[string]*service // services by name
+	servers      map[string]*server  // servers by id
+	byKey        map[uint32]*server  // servers by the low half of their hash
 	attempts     map[AttemptID]*attempt
 	lastID       AttemptID
 	freeAttempts []*attempt // closed attempts, for reuse
 
-	announcedPrefixes map[uint32]announcedPrefix // by prompt key
+	announcedPrefixes map[uint32]announcedPrefix // announced prefixes by prompt key
 	announcements     announcementLimiter
 	prefixCache       prefixCacheIndex
-	slack             selection.Slack // over all services
+	slack             selection.Slack // slack over all services
 	pickNumber        uint64          // identifies the pick to which a server's matched prefix belongs
-	listNumber        uint64          // of the newest server list
+	listNumber        uint64          // number of the newest server list
 	buffers           pickBuffers
 	stats             Stats
 }
@@ -134,12 +134,12 @@
 	p.slowStart.SetQuotaMembers(now, shares)
 }
 
-// Slack returns the exponentially weighted share, from 0 to 1, of this proxy's requests that were answered in time, over
+// Slack returns the exponentially weighted fraction, from 0 to 1, of this proxy's requests that were answered in time, over
 // all services.
 func (p *Placer) Slack() float64 { return p.slack.Share }
 
-// ServiceSlack returns the exponentially weighted share, from 0 to 1, of the requests for one service that were answered
-// in time. It determines how the service's servers are selected. For an unknown service it returns Slack.
+// ServiceSlack returns the exponentially weighted fraction, from 0 to 1, of the requests for one service that were
+// answered in time. It determines how the service's servers are selected. For an unknown service it returns Slack.
 func (p *Placer) ServiceSlack(name string) float64 {
 	if known := p.services[name]; known != nil {
 		return known.slack.Share
--- a/internal/region/placement/prefixcache.go
+++ b/internal/region/placement/prefixcache.go
@@ -7,14 +7,14 @@
 // servers are expected to have in their KV caches. Each server has an LRU list that is bounded by tokens and by length.
 // The servers are never queried: the index is a prediction.
 type prefixCacheIndex struct {
-	entries map[prefixHash][]*cachedPrefix // by prefix: one entry for each server that is expected to have it
+	entries map[prefixHash][]*cachedPrefix // entries by prefix, one for each server that is expected to have the prefix cached
 }
 
 // cachedPrefix is a prefix at a server, an element of the server's LRU list.
 type cachedPrefix struct {
 	prefix       prefixHash
 	server       *server
-	tokens       int // of the prefix's last chunk only
+	tokens       int // number of tokens of the prefix's last chunk only
 	newer, older *cachedPrefix
 }
 
@@ -22,7 +22,7 @@
 type lruList struct {
 	newest, oldest *cachedPrefix
 	length         int
-	tokens         int // sum over all entries
+	tokens         int // total number of tokens of the entries
 }
 
 func newPrefixCacheIndex() prefixCacheIndex {
@@ -84,8 +84,9 @@
 	x.entries[entry.prefix] = entries
 }
 
-// match sets the length of the longest cached prefix of a prompt at each server that has one. The fields are valid only
-// for the pick with that number, so that they need no reset.
+// match sets the fields matchedPick, matchedChunks and matchedTokens of each server that has a prefix of a prompt cached
+// to the pick's number and the length of the longest cached prefix. The lengths are valid only for the pick with that
+// number, so that they need no reset.
 func (x *prefixCacheIndex) match(p *prompt, pickNumber uint64) {
 	for i, prefix := range p.prefixes {
 		for _, entry := range x.entries[prefix] {
--- a/internal/region/placement/prompt.go
+++ b/internal/region/placement/prompt.go
@@ -20,11 +20,11 @@
 
 // prompt holds the properties of a request's prompt that a pick uses.
 type prompt struct {
-	prefixes         []prefixHash // by chunk: hash of the prefix that ends with it
-	cumulativeTokens []int        // by chunk: tokens of that prefix
-	totalTokens      int          // of the whole prompt
-	sharedTokens     int          // of all chunks but the last
-	memoryTokens     int          // of the whole prompt and of the longest possible answer
+	prefixes         []prefixHash // by chunk: hash of the prefix that ends with the chunk
+	cumulativeTokens []int        // by chunk: number of tokens of the prefix that ends with the chunk
+	totalTokens      int          // tokens of the whole prompt
+	sharedTokens     int          // tokens of all chunks but the last
+	memoryTokens     int          // tokens of the whole prompt and of the longest possible answer
 	affinityKey      prefixHash   // hash of the shared chunks, which determines the affinity server
 }
 
--- a/internal/region/placement/request.go
+++ b/internal/region/placement/request.go
@@ -13,7 +13,7 @@
 	Model           string        // X-Fieldrelay-Model
 	Chunks          []PromptChunk // X-Fieldrelay-Prompt-Prefix, in order
 	PromptTokens    int           // tokens of the whole prompt (X-Fieldrelay-Token-Count, first number); 0: unknown
-	MaxOutputTokens int           // maximum number of tokens to generate (second number of the same header); 0: unknown
+	MaxOutputTokens int           // maximum number of tokens to generate (X-Fieldrelay-Token-Count, second number); 0: unknown
 	Arrived         time.Duration // when the client's request was read
 	Remaining       time.Duration // time to the deadline of the client or the route; ignored if not positive
 	IsRetry         bool          // the request appears to be a client's retry of one that was rejected or failed
--- a/internal/region/placement/server.go
+++ b/internal/region/placement/server.go
@@ -29,35 +29,35 @@
 
 	service  *service
 	capacity int
-	hash     uint64 // of the id
+	hash     uint64 // hash of the id
 	affinity uint64 // sort key of this proxy's own order of servers, descending
 
-	listedFrom            uint64 // number of the first server list that contained it
+	listedFrom            uint64 // number of the first server list that contained the server
 	draining              bool
-	gone                  bool          // it is no longer in the list, or another server has its address
-	expiresAt             time.Duration // 0: unknown
+	gone                  bool          // the server is no longer in the list, or another server has its address
+	expiresAt             time.Duration // time when the server stops taking requests; 0: unknown
 	warmingUntil          time.Duration
-	warmupReportedAt      time.Duration // when one of its answers last reported that it is warming up
-	suspectedWarmingUntil time.Duration // it may have been restarted: treated as warming up until a newer list arrives
-	cooldownUntil         time.Duration // it was full or seems to be draining: used only if no other server is left
+	warmupReportedAt      time.Duration // when one of the server's answers last reported that it is warming up
+	suspectedWarmingUntil time.Duration // end of the warm-up that is assumed because the server may have been restarted
+	cooldownUntil         time.Duration // end of the period in which the server, which was full or seems to be draining, is a last resort
 
 	estimate            selection.Estimate
-	unanswered          []*attempt    // oldest first
-	queuedPrefillTokens int           // of the unanswered attempts
+	unanswered          []*attempt    // attempts without a first event, oldest first
+	queuedPrefillTokens int           // prompt tokens to prefill for the unanswered attempts
 	busyUntil           time.Duration // expected end of the prefills that other proxies announced
 	openAttempts        int           // attempts that have not finished
-	reservedTokens      int           // maximum number of tokens that they occupy in the server's memory
+	reservedTokens      int           // maximum number of tokens that the open attempts occupy in the server's memory
 	failures            int           // total weight of the consecutive failures
 	failureReports      failureReports
-	succeededAt         time.Duration // when this proxy last got a complete answer from it; 0: never
+	succeededAt         time.Duration // when this proxy last got a complete answer from the server; 0: never
 	ejectionPeriod      time.Duration // length of the last ejection; 0 after a success
 	ejectedUntil        time.Duration
-	trialInFlight       bool // the only trial request after an ejection
+	trialInFlight       bool // the only trial request after an ejection is open
 
 	cachedPrefixes lruList
 	matchedPick    uint64 // number of the pick for which the following two fields are valid
 	matchedChunks  int    // number of chunks of the longest cached prefix of the pick's prompt
-	matchedTokens  int    // number of tokens of that prefix
+	matchedTokens  int    // number of tokens of the longest cached prefix of the pick's prompt
 }
 
 func newServer(listed *pb.Server, owner *service, region string, hostHash uint64) *server {
--- a/internal/region/placement/service.go
+++ b/internal/region/placement/service.go
@@ -26,7 +26,7 @@
 	defaultCapacity = 8
 )
 
-// bands are the bands of the slack. They have the edges of the paper (see package selection) and lower temperatures, so
+// bands are the bands of the slack. They have the thresholds of selection.PaperBands and lower temperatures, so
 // that requests stay at servers with a cached prefix. Temperatures of half or a quarter of these values gain nothing.
 var bands = selection.Bands{
 	Low:       selection.PaperBands.Low,
@@ -38,17 +38,17 @@
 // service is the state that this proxy holds about one service.
 type service struct {
 	name         string
-	config       *route.Service // nil: not in the configuration
-	servers      []*server      // by descending affinity
+	config       *route.Service // settings of the service; nil: not in the configuration
+	servers      []*server      // servers by descending affinity
 	slack        selection.Slack
 	walk         selection.Walk[*server]
-	localSpeed   selection.Estimate // typical speed of its servers in this proxy's region
-	remoteSpeed  selection.Estimate // typical speed of its servers in other regions
+	localSpeed   selection.Estimate // typical speed of the servers in this proxy's region
+	remoteSpeed  selection.Estimate // typical speed of the servers in other regions
 	prefill      prefillEstimator
 	median       time.Duration            // running median of the time to the first event or byte
 	spillingOver bool                     // requests are also sent to other regions
 	seedSentAt   time.Duration            // when the last attempt that seeds a speed estimate was sent
-	seedAttempt  *attempt                 // that attempt, while it is unanswered
+	seedAttempt  *attempt                 // last attempt that seeds a speed estimate, while it is unanswered; otherwise nil
 	rejectedAt   time.Duration            // when a server last rejected a request for being full; 0: never
 	trickledAt   map[string]time.Duration // by route: when a request was last admitted despite overload
 }
--- a/internal/region/placement/stats.go
+++ b/internal/region/placement/stats.go
@@ -2,13 +2,13 @@
 
 // Stats holds the counters of a Placer since its creation.
 type Stats struct {
-	Attempts              uint64 // attempts opened
-	Seeded                uint64 // picks that seed a speed estimate or are a trial after an ejection
-	Drawn                 uint64 // picks by softmax
-	Walked                uint64 // picks by the sorted walk
-	WarmingUp             uint64 // attempts at servers that were warming up
-	OtherRegion           uint64 // attempts in another region
-	Ejections             uint64
+	Attempts              uint64                 // attempts opened
+	Seeded                uint64                 // picks that seed a speed estimate or are a trial after an ejection
+	Drawn                 uint64                 // picks by softmax
+	Walked                uint64                 // picks by the sorted walk
+	WarmingUp             uint64                 // attempts at servers that were warming up
+	OtherRegion           uint64                 // attempts in another region
+	Ejections             uint64                 // ejections of servers
 	AnnouncementsReceived uint64                 // announcements received from other proxies
 	FailureReports        uint64                 // failure reports received from other proxies
 	Overloaded            uint64                 // requests that Admit rejected
