--- a/internal/region/placement/announcement.go
+++ b/internal/region/placement/announcement.go
@@ -102,9 +102,9 @@
 }
 
 // forgetAnnouncedPrefixes deletes the records that refer to a removed server.
-func (p *Placer) forgetAnnouncedPrefixes(gone *server) {
+func (p *Placer) forgetAnnouncedPrefixes(removed *server) {
 	for key, last := range p.announcedPrefixes {
-		if last.server == gone {
+		if last.server == removed {
 			delete(p.announcedPrefixes, key)
 		}
 	}
--- a/internal/region/placement/eligibility.go
+++ b/internal/region/placement/eligibility.go
@@ -13,7 +13,7 @@
 type eligibility uint8
 
 const (
-	eligibilityGone eligibility = iota
+	eligibilityUnavailable eligibility = iota
 	eligibilityEvacuated
 	eligibilityOutsideHome // the server is outside the route's home regions
 	eligibilityExcluded    // the request was already sent to the server
@@ -27,7 +27,7 @@
 func (p *Placer) mandatoryEligibility(now time.Duration, s *server, request *Request) eligibility {
 	switch {
 	case s.unavailable(now):
-		return eligibilityGone
+		return eligibilityUnavailable
 	case p.evacuated[s.zone]:
 		return eligibilityEvacuated
 	case request.Route != nil && !request.Route.AllowsRegion(s.region):
@@ -65,7 +65,7 @@
 	buffers := &p.buffers
 	buffers.local, buffers.remote = buffers.local[:0], buffers.remote[:0]
 	buffers.warmingUp, buffers.coolingDown = buffers.warmingUp[:0], buffers.coolingDown[:0]
-	best := eligibilityGone
+	best := eligibilityUnavailable
 	for _, s := range owner.servers {
 		result := p.eligibility(now, s, request)
 		best = max(best, result)
--- a/internal/region/placement/noserver.go
+++ b/internal/region/placement/noserver.go
@@ -37,7 +37,7 @@
 
 // noServerReasons maps the best eligibility among the servers to the reason why none of them can take the request.
 var noServerReasons = [...]Reason{
-	eligibilityGone:        ReasonNoServer,
+	eligibilityUnavailable: ReasonNoServer,
 	eligibilityEvacuated:   ReasonEvacuated,
 	eligibilityOutsideHome: ReasonHomeRegions,
 	eligibilityExcluded:    ReasonExcluded,
--- a/internal/region/placement/outcome.go
+++ b/internal/region/placement/outcome.go
@@ -99,7 +99,7 @@
 	case Rejected:
 		p.rejected(now, a)
 	case Misdirected:
-		a.server.gone = true
+		a.server.retired = true
 		p.prefixCache.removeServer(a.server)
 	case Failed:
 		p.failed(now, a, failedWeight)
--- a/internal/region/placement/placer.go
+++ b/internal/region/placement/placer.go
@@ -120,18 +120,18 @@
 }
 
 // SetQuotaMembers replaces the proxies that share the common limits.
-func (p *Placer) SetQuotaMembers(now time.Duration, shares *pb.QuotaMembers) {
-	p.proxies = max(int(shares.GetProxies()), len(shares.GetMembers()))
-	if shares.GetProxies() == 0 {
+func (p *Placer) SetQuotaMembers(now time.Duration, members *pb.QuotaMembers) {
+	p.proxies = max(int(members.GetProxies()), len(members.GetMembers()))
+	if members.GetProxies() == 0 {
 		p.proxies = 0
 	}
 	p.regionProxies = 0
-	for _, member := range shares.GetMembers() {
+	for _, member := range members.GetMembers() {
 		if member.GetRegion() == p.region {
 			p.regionProxies++
 		}
 	}
-	p.slowStart.SetQuotaMembers(now, shares)
+	p.slowStart.SetQuotaMembers(now, members)
 }
 
 // Slack returns the exponentially weighted fraction, from 0 to 1, of this proxy's requests that were answered in time, over
--- a/internal/region/placement/prefixcache.go
+++ b/internal/region/placement/prefixcache.go
@@ -60,9 +60,9 @@
 }
 
 // removeServer removes all entries of a server.
-func (x *prefixCacheIndex) removeServer(gone *server) {
-	for gone.cachedPrefixes.oldest != nil {
-		x.remove(gone.cachedPrefixes.oldest)
+func (x *prefixCacheIndex) removeServer(removed *server) {
+	for removed.cachedPrefixes.oldest != nil {
+		x.remove(removed.cachedPrefixes.oldest)
 	}
 }
 
--- a/internal/region/placement/server.go
+++ b/internal/region/placement/server.go
@@ -34,7 +34,7 @@
 
 	listedFrom            uint64 // number of the first server list that contained the server
 	draining              bool
-	gone                  bool          // the server is no longer in the list, or another server has its address
+	retired               bool          // the server is no longer in the list, or another server has its address
 	expiresAt             time.Duration // time when the server stops taking requests; 0: unknown
 	warmingUntil          time.Duration
 	warmupReportedAt      time.Duration // when one of the server's answers last reported that it is warming up
@@ -103,7 +103,7 @@
 
 // unavailable reports whether no new request may be sent to the server, now or later.
 func (s *server) unavailable(now time.Duration) bool {
-	return s.gone || s.draining || (s.expiresAt > 0 && now >= s.expiresAt)
+	return s.retired || s.draining || (s.expiresAt > 0 && now >= s.expiresAt)
 }
 
 // removeUnanswered removes an attempt from the list of those that wait for their first event, if it is in the list.
--- a/internal/region/placement/serverlist.go
+++ b/internal/region/placement/serverlist.go
@@ -55,7 +55,7 @@
 	}
 	for _, known := range p.servers {
 		if successor := added[known.address]; successor != nil && known.listedFrom < successor.listedFrom {
-			known.gone = true
+			known.retired = true
 		}
 	}
 }
@@ -71,7 +71,7 @@
 }
 
 func (p *Placer) removeServer(known *server) {
-	known.gone = true
+	known.retired = true
 	delete(p.servers, known.id)
 	if p.byKey[uint32(known.hash)] == known {
 		delete(p.byKey, uint32(known.hash))
