--- a/internal/region/placement/failurereport.go
+++ b/internal/region/placement/failurereport.go
@@ -13,7 +13,8 @@
 	// having observed a failure itself. A single zone does not suffice, since a network partition between it and the
 	// server's zone looks like a failure of the server.
 	minReportingZones = 2
-	// successOverride is how long after a success that this proxy observed itself the failure reports of other proxies are ignored.
+	// successOverride is how long the failure reports of other proxies are ignored after a success that this proxy
+	// observed itself.
 	successOverride = time.Second
 )
 
--- a/internal/region/placement/noserver.go
+++ b/internal/region/placement/noserver.go
@@ -10,7 +10,7 @@
 
 // The reasons, in the order in which the rules are applied. The reason is the rule that excluded the last servers.
 const (
-	ReasonNoServer    Reason = iota // no server of the service is known, or all are draining or retired
+	ReasonNoServer    Reason = iota // no server of the service is known, or all are draining, expired or retired
 	ReasonEvacuated                 // the remaining servers are in evacuated zones
 	ReasonHomeRegions               // the remaining servers are outside the route's home regions
 	ReasonExcluded                  // the request was already sent to each of the remaining servers
--- a/internal/region/placement/outcome.go
+++ b/internal/region/placement/outcome.go
@@ -16,7 +16,7 @@
 // The outcomes of an attempt.
 const (
 	Done        Outcome = iota // a complete answer, of any status that is not a failure of the server
-	Rejected                   // the server rejected the request without executing it: the server is full, or the deadline is too close
+	Rejected                   // the server, which is full or finds the deadline too close, rejected the request without executing it
 	Misdirected                // status 421: the address belongs to another server now
 	Failed                     // the server answered with status 5xx or with bytes that are not a valid answer
 	Reset                      // the connection could not be opened, was reset or was closed early
@@ -173,7 +173,8 @@
 }
 
 // RequestDone records the end of a client's request that was admitted: whether it was answered, and the latency of its
-// first event or byte. It updates the slack, the exponentially weighted fraction of requests that were answered in time.
+// first event or byte. It updates the slack, which is the exponentially weighted fraction of requests that were answered
+// in time.
 func (p *Placer) RequestDone(now time.Duration, request *Request, answered bool, latency time.Duration) {
 	owner := p.services[request.Service]
 	if owner == nil {
--- a/internal/region/placement/placer.go
+++ b/internal/region/placement/placer.go
@@ -134,8 +134,8 @@
 	p.slowStart.SetQuotaMembers(now, members)
 }
 
-// Slack returns the exponentially weighted fraction, from 0 to 1, of this proxy's requests that were answered in time, over
-// all services.
+// Slack returns the exponentially weighted fraction, from 0 to 1, of this proxy's requests that were answered in time,
+// over all services.
 func (p *Placer) Slack() float64 { return p.slack.Share }
 
 // ServiceSlack returns the exponentially weighted fraction, from 0 to 1, of the requests for one service that were
--- a/internal/region/placement/prefixcache.go
+++ b/internal/region/placement/prefixcache.go
@@ -7,7 +7,7 @@
 // servers are expected to have in their KV caches. Each server has an LRU list that is bounded by tokens and by length.
 // The servers are never queried: the index is a prediction.
 type prefixCacheIndex struct {
-	entries map[prefixHash][]*cachedPrefix // entries by prefix, one for each server that is expected to have the prefix cached
+	entries map[prefixHash][]*cachedPrefix // entries by prefix, one for each server expected to have the prefix cached
 }
 
 // cachedPrefix is a prefix at a server, an element of the server's LRU list.
@@ -84,9 +84,8 @@
 	x.entries[entry.prefix] = entries
 }
 
-// match sets the fields matchedPick, matchedChunks and matchedTokens of each server that has a prefix of a prompt cached
-// to the pick's number and the length of the longest cached prefix. The lengths are valid only for the pick with that
-// number, so that they need no reset.
+// match records the length of the longest cached prefix of a prompt in each server that has such a prefix, together with
+// the number of the pick. The lengths are valid only for the pick with that number, so that they need no reset.
 func (x *prefixCacheIndex) match(p *prompt, pickNumber uint64) {
 	for i, prefix := range p.prefixes {
 		for _, entry := range x.entries[prefix] {
--- a/internal/region/placement/server.go
+++ b/internal/region/placement/server.go
@@ -39,7 +39,7 @@
 	warmingUntil          time.Duration
 	warmupReportedAt      time.Duration // when one of the server's answers last reported that it is warming up
 	suspectedWarmingUntil time.Duration // end of the warm-up that is assumed because the server may have been restarted
-	cooldownUntil         time.Duration // end of the period in which the server, which was full or seems to be draining, is a last resort
+	cooldownUntil         time.Duration // end of the time in which the server, which was full or seems to drain, is a last resort
 
 	estimate            selection.Estimate
 	unanswered          []*attempt    // attempts without a first event, oldest first
--- a/internal/region/placement/serverlist.go
+++ b/internal/region/placement/serverlist.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// retireReplaced marks a server as gone if an added server has the same address: the older server crashed, and the
+// retireReplaced marks a server as retired if an added server has the same address: the older server crashed, and the
 // list does not show that yet. Two servers that were added by the same list are both kept, since neither is older.
 func (p *Placer) retireReplaced(added map[string]*server) {
 	if len(added) == 0 {
