--- a/internal/region/proxy/announcements.go
+++ b/internal/region/proxy/announcements.go
@@ -23,7 +23,7 @@
 	maxDatagramBytes = 512
 	// maxPeers bounds the proxies to which announcements are sent.
 	maxPeers = 256
-	// announceQueueSize bounds the announcements that wait to be sent. Announcements beyond it are dropped.
+	// announceQueueSize bounds the announcements that wait to be sent. Further announcements are dropped.
 	announceQueueSize = 64
 	// announceTimeout bounds the time for sending one announcement to all peers.
 	announceTimeout = 50 * time.Millisecond
--- a/internal/region/proxy/attemptlog.go
+++ b/internal/region/proxy/attemptlog.go
@@ -46,7 +46,7 @@
 }
 
 // needsBudget reports whether the next attempt counts as a retry and so requires a token of the retry budget. An
-// attempt after failures before anything was sent doesn't count as one.
+// attempt after failures before anything was sent doesn't count as a retry.
 func (l *attemptLog) needsBudget() bool { return l.sent > 0 }
 
 // finalStatus returns the status with which the proxy itself responds if no server's response can be forwarded: 503
--- a/internal/region/proxy/body.go
+++ b/internal/region/proxy/body.go
@@ -35,7 +35,7 @@
 	bytes   []byte
 	charged int64 // bytes charged to memory
 	memory  *memoryLimit
-	pooled  *[]byte // taken from bufferPool; free returns it
+	pooled  *[]byte // buffer taken from bufferPool; free returns it to the pool
 }
 
 // newChargedBuffer returns an empty buffer with a capacity of at least size bytes, or errNoMemory.
--- a/internal/region/proxy/connlimits.go
+++ b/internal/region/proxy/connlimits.go
@@ -10,14 +10,14 @@
 
 const (
 	// defaultMaxHeader is the limit on the head of a request, in bytes, if the configuration has none. The three
-	// defaults are generous, since connections accepted before the first configuration keep them, and the
+	// defaults are generous, since connections accepted before the first configuration keep the defaults, and the
 	// configuration may have wide limits.
 	defaultMaxHeader = 64 << 10
 	// defaultHeaderRead is the time limit for receiving the head of a request if the configuration has none.
 	defaultHeaderRead = 10 * time.Second
 	// defaultKeepAlive is the limit on the idle time of a connection if the configuration has none.
 	defaultKeepAlive = time.Minute
-	// timeoutSlack is added to the limits on times, so that a client that keeps them closes the connection first.
+	// timeoutSlack is added to the limits on times, so that a client that observes the limits closes the connection first.
 	timeoutSlack = time.Second
 	// headerSlack is added to the limit on heads, since net/http also counts the request line and line ends.
 	headerSlack = 4 << 10
@@ -25,9 +25,9 @@
 
 // connLimits are the limits on a client's connection.
 type connLimits struct {
-	maxHeader  int           // bytes
-	headerRead time.Duration // for receiving the head of a request
-	keepAlive  time.Duration // idle time between requests
+	maxHeader  int           // maximum size of the head of a request, in bytes
+	headerRead time.Duration // time limit for receiving the head of a request
+	keepAlive  time.Duration // maximum idle time between requests
 }
 
 // connLimitsOf returns the configured limits, with defaults for missing ones and with slack added.
--- a/internal/region/proxy/dispatcher.go
+++ b/internal/region/proxy/dispatcher.go
@@ -49,7 +49,7 @@
 const reportInterval = time.Second
 
 // drainingCloses is the number of consecutive responses with Connection: close after which a server is considered
-// draining. A single one is not enough, since servers close connections for other reasons too.
+// draining. A single such response is not enough, since servers close connections for other reasons too.
 const drainingCloses = 2
 
 func newDispatcher(placer placer, budget *limits.RetryBudget) *dispatcher {
@@ -117,8 +117,8 @@
 	d.placer.ServerUnreachable(d.now(), server)
 }
 
-// responseReceived records whether a server's response closed its connection. A server that does so drainingCloses
-// times in a row is reported to the placer as draining.
+// responseReceived records whether a server's response closed its connection. After drainingCloses consecutive
+// responses that did, the server is reported to the placer as draining.
 func (d *dispatcher) responseReceived(server string, closed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -214,7 +214,7 @@
 	return d.placer.Stats()
 }
 
-// slack returns the placer's slack: the share, from 0 to 1, of responses within their latency target.
+// slack returns the placer's slack: the fraction, from 0 to 1, of responses within their latency target.
 func (d *dispatcher) slack() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/region/proxy/drain.go
+++ b/internal/region/proxy/drain.go
@@ -11,7 +11,7 @@
 	// to three times the directory's time to live.
 	maxDrainAccept = 3500 * time.Millisecond
 	// maxUncheckedAccept is how long requests are accepted regardless of their deadline. docs/region/rules.md permits
-	// aborting requests that were sent up to 3 s after SIGTERM; the difference covers the delivery of the signal.
+	// aborting requests that were sent up to 3 s after SIGTERM; the other 200 ms cover the delivery of the signal.
 	maxUncheckedAccept = 2800 * time.Millisecond
 	// inFlightReserve is the part of the grace period that is reserved for finishing accepted requests.
 	inFlightReserve = 2500 * time.Millisecond
@@ -24,8 +24,8 @@
 
 // drainPlan is the schedule of a graceful shutdown, as times since its start.
 type drainPlan struct {
-	deadlineCheck time.Duration // after it, a request is accepted only if its deadline is before abort
-	reject        time.Duration // after it, new requests are rejected
+	deadlineCheck time.Duration // after this time, a request is accepted only if its deadline is before abort
+	reject        time.Duration // after this time, new requests are rejected
 	abort         time.Duration // at this time, requests in flight are canceled
 }
 
@@ -43,7 +43,7 @@
 
 // drainTimes are the points in time of a shutdown that has begun; see drainPlan.
 type drainTimes struct {
-	deadlineCheck time.Time // after it, a request is accepted only if its deadline is before abort
+	deadlineCheck time.Time // after this time, a request is accepted only if its deadline is before abort
 	abort         time.Time // at this time, requests in flight are canceled
 }
 
--- a/internal/region/proxy/events.go
+++ b/internal/region/proxy/events.go
@@ -12,7 +12,7 @@
 	pendingID  string // id of the current event
 	hasID      bool   // the current event has an id
 	hasContent bool   // the current event has lines other than comments
-	lastID     string // id of the last complete event that had one
+	lastID     string // id of the last complete event that had an id
 	// eventWithoutID reports whether a complete event without an id followed the event with lastID.
 	eventWithoutID bool
 }
@@ -68,7 +68,7 @@
 	return true
 }
 
-// parseID stores the id of a line that has one, provided that it can be sent as Last-Event-ID.
+// parseID stores the event id if a line contains one that can be sent as Last-Event-ID.
 func (s *eventScanner) parseID(line []byte) {
 	s.hasContent = s.hasContent || line[0] != ':'
 	value, found := bytes.CutPrefix(line, []byte("id:"))
--- a/internal/region/proxy/exchange.go
+++ b/internal/region/proxy/exchange.go
@@ -46,8 +46,9 @@
 	outcomeBroken                          // a response ended early while it was forwarded, and can't be resumed
 )
 
-// run makes attempts until the request has a response. It returns false if the client's response is incomplete or
-// the client is gone; the caller must then abort the client's connection, so that the response doesn't look complete.
+// run makes attempts until the request has a response. It returns false if the client's response is incomplete or the
+// client has disconnected; the caller must then abort the client's connection, so that the response doesn't look
+// complete.
 func (x *exchange) run() (complete bool) {
 	if err := x.handler.dispatcher.admit(&x.placement); err != nil {
 		x.handler.counters.notAdmitted.Add(1)
@@ -115,7 +116,7 @@
 func (x *exchange) canResume() bool { return x.stream == nil || x.stream.canResume() }
 
 // endCanceled ends a canceled request. If the shutdown of the process canceled it rather than the client, the client
-// still gets a response unless one has begun. The result is that of run.
+// still gets a response unless one has begun. endCanceled returns the result of run.
 func (x *exchange) endCanceled() bool {
 	if x.handler.lifecycle.phase() == phaseAborting {
 		return x.respondWithoutServer()
@@ -125,7 +126,8 @@
 }
 
 // respondWithoutServer sends a response of the proxy itself, since no server's response can be forwarded. If the
-// headers of a server's response were sent already, it sends nothing and returns false. The result is that of run.
+// headers of a server's response were sent already, it sends nothing and returns false. respondWithoutServer returns
+// the result of run.
 func (x *exchange) respondWithoutServer() bool {
 	if x.headersSent {
 		x.handler.counters.brokenResponses.Add(1)
--- a/internal/region/proxy/forward.go
+++ b/internal/region/proxy/forward.go
@@ -81,7 +81,7 @@
 }
 
 // copyBody sends the buffered beginning of the body to the client, and then the rest as it is received. The error is a
-// *clientWriteError if writing to the client failed, and otherwise that of the server's connection.
+// *clientWriteError if writing to the client failed, and otherwise the error of the server's connection.
 func (a *attempt) copyBody(buffered *chargedBuffer) error {
 	if buffered != nil {
 		if _, err := a.client.Write(buffered.bytes); err != nil {
--- a/internal/region/proxy/listener.go
+++ b/internal/region/proxy/listener.go
@@ -30,7 +30,7 @@
 
 	mu       sync.Mutex
 	limits   connLimits
-	current  *connQueue        // queue of the server with the limits in force
+	current  *connQueue        // queue of the http.Server with the limits in force
 	handlers []*limitedHandler // one for each set of limits that is not superseded
 	closed   bool
 	idle     map[net.Conn]struct{} // connections without a request in progress
@@ -67,7 +67,7 @@
 	go func(accepted *connQueue) { _ = server.Serve(accepted) }(l.current)
 }
 
-// handlerFor returns the handler for connections under the given limits, and marks those with narrower limits as
+// handlerFor returns the handler for connections under the given limits, and marks the handlers with narrower limits as
 // superseded. The caller holds the lock.
 func (l *clientListener) handlerFor(limits connLimits) *limitedHandler {
 	l.handlers = slices.DeleteFunc(l.handlers, func(previous *limitedHandler) bool {
@@ -104,7 +104,7 @@
 	}
 }
 
-// track counts the open connections and maintains the set of idle ones. http.Server calls it for each change of a
+// track counts the open connections and maintains the set of idle connections. http.Server calls it for each change of a
 // connection's state.
 func (l *clientListener) track(conn net.Conn, state http.ConnState) {
 	switch state {
@@ -151,7 +151,7 @@
 	}
 }
 
-// dispatch passes a connection to the server with the limits in force. It tries again if that server is replaced
+// dispatch passes a connection to the http.Server with the limits in force. It tries again if the server is replaced
 // meanwhile.
 func (l *clientListener) dispatch(conn net.Conn) {
 	for {
--- a/internal/region/proxy/process.go
+++ b/internal/region/proxy/process.go
@@ -42,9 +42,9 @@
 // process is a running proxy. One goroutine calls start, serve, drain and stop, in this order.
 //
 // start starts the accept loop for clients, the send and receive loops of the announcer, and one goroutine for each
-// internal server. They end after stop has closed their listener or socket; stop doesn't wait for them, since the
-// process exits afterwards. clientListener also runs one http.Server for each set of limits, see setLimits, and net/http
-// runs a goroutine for each connection. drain waits for the connections of clients.
+// internal server. These goroutines end after stop has closed their listener or socket; stop doesn't wait for them,
+// since the process exits afterwards. clientListener also runs one http.Server for each set of limits, see setLimits,
+// and net/http runs a goroutine for each connection. drain waits for the connections of clients.
 type process struct {
 	options          Options
 	disabled         policy.Switches
@@ -60,7 +60,7 @@
 	started          time.Time
 	listener         *clientListener
 	settings         *settingsWatcher
-	gracePeriod      atomic.Int64    // nanoseconds
+	gracePeriod      atomic.Int64    // grace period of a shutdown, in nanoseconds
 	baseContext      context.Context // parent of the contexts of all requests
 	cancelRequests   context.CancelFunc
 	internalServers  []*http.Server // servers for callers other than clients
@@ -199,8 +199,8 @@
 	}
 }
 
-// sweep closes idle connections to servers that have timed out, or whose server is unreachable or no longer listed. It
-// reports unreachable servers to placement.
+// sweep closes the idle connections to servers that have timed out or whose server is unreachable or no longer listed,
+// and reports unreachable servers to placement.
 func (p *process) sweep(current *snapshot) {
 	unreachable := p.pool.Sweep(time.Now(), func(server upstream.Server) bool {
 		_, listed := current.servers[server]
--- a/internal/region/proxy/requestheaders.go
+++ b/internal/region/proxy/requestheaders.go
@@ -19,7 +19,8 @@
 	maxDeadline = 10 * time.Minute
 )
 
-// attemptIDOf returns the attempt id of a request. ok is false unless there is exactly one and it is not empty.
+// attemptIDOf returns the attempt id of a request. ok is false unless the request has exactly one
+// X-Fieldrelay-Attempt-Id header, which is not empty.
 func attemptIDOf(header http.Header) (id string, ok bool) {
 	values := header[headerAttemptID]
 	if len(values) != 1 || values[0] == "" {
--- a/internal/region/proxy/response.go
+++ b/internal/region/proxy/response.go
@@ -44,8 +44,9 @@
 	return a.receiveBuffered(state)
 }
 
-// applyHeaderHints evaluates what the head of the response says about the server: that it is draining (Connection: close,
-// which is ignored for close-delimited responses, since these always have it), that it is warming up, and when to retry.
+// applyHeaderHints evaluates what the head of the response says about the server: that it is draining (Connection:
+// close, which is ignored for close-delimited responses, since these always have that header), that it is warming up,
+// and when to retry.
 func (a *attempt) applyHeaderHints() {
 	if !a.response.IsCloseDelimited() {
 		a.handler.dispatcher.responseReceived(a.decision.ServerID, a.response.Close)
@@ -80,7 +81,7 @@
 }
 
 // receiveBuffered reads a response completely before forwarding it, so that a response that ends early can be replaced by
-// that of another server. A response that is too large to be buffered is forwarded while it is received.
+// the response of another server. A response that is too large to be buffered is forwarded while it is received.
 func (a *attempt) receiveBuffered(state executionState) attemptOutcome {
 	a.handler.dispatcher.started(a.decision.Attempt)
 	a.firstByte = time.Now()
--- a/internal/region/proxy/settingswatcher.go
+++ b/internal/region/proxy/settingswatcher.go
@@ -12,9 +12,9 @@
 // settingsWatcher reloads the settings file on request or when the file has changed. If the file can't be loaded, the
 // error is logged and the previous settings stay in force. A settingsWatcher is not safe for concurrent use.
 type settingsWatcher struct {
-	path     string // empty if there is no file
-	modified time.Time
-	size     int64
+	path     string    // path of the settings file; empty if there is none
+	modified time.Time // modification time of the file at the last check
+	size     int64     // size of the file at the last check, in bytes
 	logger   *zap.Logger
 	apply    func(*settings.Settings)
 }
--- a/internal/region/proxy/snapshot.go
+++ b/internal/region/proxy/snapshot.go
@@ -19,8 +19,8 @@
 type snapshot struct {
 	table      *route.Table
 	sequence   uint64                       // sequence of the last change
-	generation uint64                       // the operator's generation of the configuration; 0 if there is none
-	list       *pb.ListVersion              // version of the server list; nil if there is none
+	generation uint64                       // the operator's generation of the configuration; 0 if there is no configuration
+	list       *pb.ListVersion              // version of the server list; nil if there is no list
 	servers    map[upstream.Server]struct{} // servers of the server list
 	confirmed  bool                         // an authoritative control machine confirmed the state after this process started
 }
@@ -29,7 +29,7 @@
 func (s *snapshot) configured() bool { return s.generation > 0 }
 
 // complete reports whether the snapshot has everything that the proxy needs to be ready: a configuration, a server list
-// and the confirmation.
+// and the control machine's confirmation.
 func (s *snapshot) complete() bool { return s.configured() && s.confirmed && s.list != nil }
 
 // update is the result of applying one message from the agent.
@@ -57,8 +57,8 @@
 type snapshotStore struct {
 	mu      sync.Mutex // held by writers; guards gap and changed
 	current atomic.Pointer[snapshot]
-	// gap is set when changes arrive that don't directly follow the snapshot, until the next change that does, or a full
-	// state, is applied.
+	// gap is set when changes arrive that don't directly follow the snapshot. It is cleared when a full state, or a change
+	// that directly follows the snapshot, is applied.
 	gap bool
 	// changed is closed and replaced when a new snapshot is in force in the store and the dispatcher.
 	changed      chan struct{}
--- a/internal/region/proxy/stream.go
+++ b/internal/region/proxy/stream.go
@@ -35,7 +35,7 @@
 	return s.resumable && (!s.eventSent || (s.scanner.lastID != "" && !s.scanner.eventWithoutID))
 }
 
-// lastID returns the id of the last complete event that had one, or an empty string.
+// lastID returns the id of the last complete event that had an id, or an empty string.
 func (s *clientStream) lastID() string { return s.scanner.lastID }
 
 // restart prepares for the events of another server. It drops an incomplete event of the previous server.
@@ -69,8 +69,8 @@
 	}
 }
 
-// beginStream sends the headers of the stream. It flushes them at once unless more data has been received already, with
-// which they are flushed later.
+// beginStream sends the headers of the stream. It flushes them at once unless more data has been received already: then
+// they are flushed together with that data.
 func (a *attempt) beginStream() {
 	flusher, _ := a.client.(http.Flusher)
 	stream := &clientStream{
--- a/internal/region/proxy/upstream/idle.go
+++ b/internal/region/proxy/upstream/idle.go
@@ -9,8 +9,8 @@
 type idleState uint8
 
 const (
-	idleUsable      idleState = iota // open, with no bytes to read
-	idleUnusable                     // closed by the server, or has unexpected bytes to read
+	idleUsable      idleState = iota // the connection is open and has no bytes to read
+	idleUnusable                     // the server closed the connection, or unexpected bytes are to be read
 	idleUnreachable                  // the server's machine has not acknowledged the kernel's keep-alive probes
 )
 
--- a/internal/region/proxy/upstream/pool.go
+++ b/internal/region/proxy/upstream/pool.go
@@ -51,7 +51,7 @@
 
 // serverConns is the state that the pool keeps for one server.
 type serverConns struct {
-	idle []*Conn // ordered by last use, most recent last
+	idle []*Conn // idle connections, ordered by last use, most recent last
 	// idleTimeout bounds how long connections to this server are kept idle. It starts at maxIdleTimeout and is
 	// lowered when the server closes idle connections earlier than that.
 	idleTimeout time.Duration
@@ -73,7 +73,7 @@
 	config  Config
 	mu      sync.Mutex // guards the fields below
 	servers map[Server]*serverConns
-	idle    int // idle connections to all servers
+	idle    int // number of idle connections to all servers
 	closed  bool
 	stats   Stats
 }
@@ -115,7 +115,7 @@
 }
 
 // takeIdle returns the most recently used idle connection that is still usable, or nil if there is none. It closes
-// the unusable ones that it finds. The sockets are checked without holding the lock.
+// the unusable connections that it finds. The sockets are checked without holding the lock.
 func (p *Pool) takeIdle(server Server, deadline time.Time) *Conn {
 	for {
 		conn := p.popIdle(server)
@@ -230,8 +230,8 @@
 	}
 }
 
-// putIdle adds a connection to the idle ones and returns true. It returns false if reuse is disabled, a limit is
-// reached or the pool is closed.
+// putIdle adds a connection to the idle connections of its server and returns true. It returns false if reuse is
+// disabled, a limit is reached or the pool is closed.
 func (p *Pool) putIdle(conn *Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/region/proxy/upstream/receive.go
+++ b/internal/region/proxy/upstream/receive.go
@@ -12,7 +12,7 @@
 const (
 	// maxHeadBytes bounds the head of a response in bytes, including interim responses before it.
 	maxHeadBytes = 64 << 10
-	// maxInterim bounds the number of interim (1xx) responses before the final one.
+	// maxInterim bounds the number of interim (1xx) responses before the final response.
 	maxInterim = 4
 )
 
--- a/internal/region/proxy/upstream/responsematch.go
+++ b/internal/region/proxy/upstream/responsematch.go
@@ -6,9 +6,9 @@
 const AttemptIDHeader = "X-Fieldrelay-Attempt-Id"
 
 // matchesRequest reports whether a response belongs to the request with the given id. Comparing the id is not
-// sufficient. If a truncated head of an earlier response precedes this one, both are parsed as a single head with the
-// status of the earlier response and the id of this one, and the true status line becomes part of a header value. A
-// head that contains a status line in a value is therefore rejected.
+// sufficient. If a truncated head of an earlier response precedes this response, both are parsed as a single head with
+// the status of the earlier response and the id of this response, and the true status line becomes part of a header
+// value. A head that contains a status line in a value is therefore rejected.
 func matchesRequest(response Response, attemptID string) bool {
 	if ids := response.Header[AttemptIDHeader]; len(ids) != 1 || ids[0] != attemptID {
 		return false
--- a/internal/region/proxy/upstream/send.go
+++ b/internal/region/proxy/upstream/send.go
@@ -103,8 +103,8 @@
 }
 
 // acknowledged reports whether the server's kernel has received all of a request, as is the case when the server
-// responds after reading it. Only requests with a separate body are checked, because all others are smaller than any
-// send buffer. If the local kernel does not support the query, the request counts as received.
+// responds after reading it. Only requests with a separate body are checked, because all other requests are smaller
+// than any send buffer. If the local kernel does not support the query, the request counts as received.
 func (c *Conn) acknowledged() bool {
 	if !c.separateBody {
 		return true
--- a/internal/region/proxy/upstream/sweep.go
+++ b/internal/region/proxy/upstream/sweep.go
@@ -21,8 +21,8 @@
 	return unreachable
 }
 
-// sweepServer closes the unusable idle connections to one server, or all of them if the server is no longer listed.
-// If one connection shows that the machine is unreachable, all idle connections to that machine are closed. The
+// sweepServer closes the unusable idle connections to one server, or all idle connections if the server is no longer
+// listed. If one connection shows that the machine is unreachable, all idle connections to that machine are closed. The
 // caller must hold the lock.
 func (p *Pool) sweepServer(conns *serverConns, now time.Time, listed bool) (unreachable bool) {
 	usable := conns.idle[:0]
