--- a/internal/region/limits/slowstart.go
+++ b/internal/region/limits/slowstart.go
@@ -24,8 +24,8 @@
 	// startupWait is how long a proxy treats its share as unknown after it first learnt a majority of the members.
 	// When many processes start at once, the first member lists are incomplete.
 	startupWait = 2 * time.Second
-	// membershipSettleTime is how long the members must have been unchanged before spare positions are used.
-	membershipSettleTime = 5 * time.Second
+	// membershipStabilizationWindow is how long the members must have been unchanged before spare positions are used.
+	membershipStabilizationWindow = 5 * time.Second
 	// maxBuckets bounds the number of servers with a token bucket.
 	maxBuckets = 4096
 	// bucketIdleTimeout is how long a bucket is kept after its last use. It is longer than a bucket takes to fill, so
@@ -54,8 +54,8 @@
 //
 // With k primary positions of rate r, k(1+r) is half of the limit. If only servers that are warming up are available
 // for a request, the proxies in the next j positions, the spare ones of rate q, may send as well: j(1+q) is a quarter
-// of the limit. Spare positions are used only after the members have been unchanged for membershipSettleTime. The
-// sets that two proxies know then differ by at most one member (a longer network partition also separates the far
+// of the limit. Spare positions are used only after the members have been unchanged for membershipStabilizationWindow.
+// The sets that two proxies know then differ by at most one member (a longer network partition also separates the far
 // side from the server's region), which adds one position of each kind. The sum is 1/2 + 1/4 + 1/(2k) + 1/(4j) of the
 // limit, which is at most the whole limit if k and j are 3 or more. With fewer positions of either kind there are no
 // spare ones.
@@ -166,7 +166,7 @@
 		return 0, false
 	case own < plan.primaries:
 		return plan.primaryRate, true
-	case lastResort && own < plan.primaries+plan.spares && now-l.changedAt >= membershipSettleTime:
+	case lastResort && own < plan.primaries+plan.spares && now-l.changedAt >= membershipStabilizationWindow:
 		return plan.spareRate, true
 	}
 	return 0, false
--- a/internal/region/limits/slowstart_test.go
+++ b/internal/region/limits/slowstart_test.go
@@ -90,13 +90,13 @@
 	for i := range 9 {
 		limiter := NewSlowStartLimiter(slowStartConfig, hostName(i))
 		limiter.SetQuotaMembers(time.Minute, quotaMembersOf(9, upTo(9), oneRegion))
-		early := limiter.Allows(time.Minute+membershipSettleTime-1, warmingServer("a"), true)
-		if late := limiter.Allows(time.Minute+membershipSettleTime, warmingServer("a"), true); late && !early {
+		early := limiter.Allows(time.Minute+membershipStabilizationWindow-1, warmingServer("a"), true)
+		if late := limiter.Allows(time.Minute+membershipStabilizationWindow, warmingServer("a"), true); late && !early {
 			spare = limiter
 		}
 	}
 	require.NotNil(t, spare)
-	again := time.Minute + membershipSettleTime
+	again := time.Minute + membershipStabilizationWindow
 	spare.SetQuotaMembers(again, quotaMembersOf(9, upTo(9), oneRegion))
 	require.True(t, spare.Allows(again, warmingServer("a"), true), "the same members are no change")
 	spare.SetQuotaMembers(again, quotaMembersOf(10, upTo(10), oneRegion))
--- a/internal/region/proxy/configstream.go
+++ b/internal/region/proxy/configstream.go
@@ -16,19 +16,19 @@
 // configStream implements the RPC service ProxyFeed, which the agent on the same machine calls to deliver the
 // configuration, server lists and quota shares. It is safe for concurrent use; updates are applied one at a time.
 type configStream struct {
-	mu          sync.Mutex // serializes Apply, so that the placer gets snapshots in order
-	host        string
-	incarnation uint64
-	edgeAddress string // address for clients, ip:port
-	snapshots   *snapshotStore
-	dispatcher  *dispatcher
-	announcer   *announcer
-	lifecycle   *lifecycle
-	counters    *counters
-	shares      atomic.Pointer[pb.QuotaMembersVersion] // version of the quota shares in force
-	logger      *zap.Logger
-	liveness    *agentLiveness
-	clock       func() time.Duration // monotonic clock, see process.now
+	mu                  sync.Mutex // serializes Apply, so that the placer gets snapshots in order
+	host                string
+	incarnation         uint64
+	edgeAddress         string // address for clients, ip:port
+	snapshots           *snapshotStore
+	dispatcher          *dispatcher
+	announcer           *announcer
+	lifecycle           *lifecycle
+	counters            *counters
+	quotaMembersVersion atomic.Pointer[pb.QuotaMembersVersion] // version of the quota shares in force
+	logger              *zap.Logger
+	liveness            *agentLiveness
+	clock               func() time.Duration // monotonic clock, see process.now
 	// onSnapshot is called with each new snapshot while mu is held.
 	onSnapshot func(*snapshot, update)
 }
@@ -54,7 +54,7 @@
 	if applied.listChanged {
 		s.dispatcher.setServers(request.Msg.GetList())
 	}
-	s.applyShares(request.Msg.GetQuotaMembers())
+	s.applyQuotaMembers(request.Msg.GetQuotaMembers())
 	s.logUpdate(before, current, applied)
 	s.onSnapshot(current, applied)
 	if applied.tableChanged || applied.listChanged {
@@ -63,15 +63,15 @@
 	return connect.NewResponse(s.status(current)), nil
 }
 
-// applyShares puts quota shares in force, unless later ones of the same agent process are in force already. A call
+// applyQuotaMembers puts quota shares in force, unless later ones of the same agent process are in force already. A call
 // that the agent has abandoned may arrive after the call that followed it.
-func (s *configStream) applyShares(shares *pb.QuotaMembers) {
-	if shares == nil || limits.IsOutdated(shares.GetVersion(), s.shares.Load()) {
+func (s *configStream) applyQuotaMembers(members *pb.QuotaMembers) {
+	if members == nil || limits.IsOutdated(members.GetVersion(), s.quotaMembersVersion.Load()) {
 		return
 	}
-	s.shares.Store(shares.GetVersion())
-	s.dispatcher.setQuotaShares(shares)
-	s.announcer.setMembers(shares.GetMembers())
+	s.quotaMembersVersion.Store(members.GetVersion())
+	s.dispatcher.setQuotaMembers(members)
+	s.announcer.setMembers(members.GetMembers())
 }
 
 // Status returns the versions of the state in force and whether the proxy is ready.
@@ -91,7 +91,7 @@
 		Ready:       s.lifecycle.ready(current),
 		Draining:    s.lifecycle.draining(),
 		EdgeAddress: s.edgeAddress,
-		Shares:      s.shares.Load(),
+		Shares:      s.quotaMembersVersion.Load(),
 	}
 	if s.snapshots.needsFullState() {
 		// Digests without ranges request the full state from the agent.
--- a/internal/region/proxy/dispatcher.go
+++ b/internal/region/proxy/dispatcher.go
@@ -15,7 +15,7 @@
 	SetServers(now time.Duration, servers []*pb.Server, age time.Duration)
 	SetTable(now time.Duration, table *route.Table)
 	SetEvacuated(now time.Duration, zones []string)
-	SetQuotaMembers(now time.Duration, shares *pb.QuotaMembers)
+	SetQuotaMembers(now time.Duration, members *pb.QuotaMembers)
 	ServerWarmingUp(now time.Duration, serverID string, remaining time.Duration)
 	ServerDraining(now time.Duration, serverID string)
 	ServerUnreachable(now time.Duration, serverID string)
@@ -170,11 +170,11 @@
 	d.placer.AnnouncementReceived(d.now(), announcement)
 }
 
-func (d *dispatcher) setQuotaShares(shares *pb.QuotaMembers) {
+func (d *dispatcher) setQuotaMembers(members *pb.QuotaMembers) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.placer.SetQuotaMembers(d.now(), shares)
-	d.budget.SetQuotaMembers(shares)
+	d.placer.SetQuotaMembers(d.now(), members)
+	d.budget.SetQuotaMembers(members)
 }
 
 // failureReported implements announcementHandler.
--- a/internal/region/route/parse.go
+++ b/internal/region/route/parse.go
@@ -58,9 +58,9 @@
 	}
 	split := make([]WeightedService, 0, len(destination.Split))
 	total := 0.0
-	for _, share := range destination.Split {
-		split = append(split, WeightedService{Service: jsonwalk.TextOf(share.Service), Weight: share.Weight})
-		total += share.Weight
+	for _, weighted := range destination.Split {
+		split = append(split, WeightedService{Service: jsonwalk.TextOf(weighted.Service), Weight: weighted.Weight})
+		total += weighted.Weight
 	}
 	return split, total
 }
--- a/internal/region/route/route.go
+++ b/internal/region/route/route.go
@@ -59,23 +59,23 @@
 func (r *Route) PickService(draw float64) string {
 	rest := draw * r.total
 	picked := ""
-	for _, share := range r.Split {
-		if share.Weight <= 0 {
+	for _, weighted := range r.Split {
+		if weighted.Weight <= 0 {
 			continue
 		}
-		picked = share.Service
-		if rest < share.Weight {
+		picked = weighted.Service
+		if rest < weighted.Weight {
 			break
 		}
-		rest -= share.Weight
+		rest -= weighted.Weight
 	}
 	return picked
 }
 
 // LeadsTo reports whether requests of the route may be sent to a service.
 func (r *Route) LeadsTo(service string) bool {
-	return slices.ContainsFunc(r.Split, func(share WeightedService) bool {
-		return share.Service == service && share.Weight > 0
+	return slices.ContainsFunc(r.Split, func(weighted WeightedService) bool {
+		return weighted.Service == service && weighted.Weight > 0
 	})
 }
 
