--- a/internal/region/route/errors.go
+++ b/internal/region/route/errors.go
@@ -9,12 +9,12 @@
 
 // ItemError reports the faults of an item of the configuration. It wraps them.
 type ItemError struct {
-	Kind string // of the item
-	Name string
+	Kind string // kind of the item
+	Name string // name of the item
 	// LeftOut: the item cannot be used, so that the table does not contain it. If false, the table contains the item
 	// without the invalid members.
 	LeftOut bool
-	Faults  []configitem.FieldError // at least one
+	Faults  []configitem.FieldError // faults of the item, at least one
 }
 
 // Error implements error.
--- a/internal/region/route/homes.go
+++ b/internal/region/route/homes.go
@@ -30,7 +30,7 @@
 
 // HomeIndex holds the HomeRegions of all hosts for one state of the configuration. It is immutable.
 type HomeIndex struct {
-	hosts map[string]HomeRegions // by canonical name
+	hosts map[string]HomeRegions // home regions by canonical host name
 	// unreadable: an item that is not a route has home regions, and the hosts to which they apply are unknown.
 	unreadable bool
 }
@@ -87,8 +87,8 @@
 )
 
 // mentionsHomeRegions reports whether a body has home regions that are not an empty list. Most routes have none, so it
-// searches the text and parses the body only if that contains escape sequences. The search cannot match inside a JSON
-// string, where the quotes of the key would be escaped.
+// searches the text and parses the body only if the text contains escape sequences. The search cannot match inside a
+// JSON string, where the quotes of the key would be escaped.
 func mentionsHomeRegions(body []byte) bool {
 	if bytes.Contains(body, unicodeEscape) && json.Valid(body) {
 		return hasHomeRegions(jsonwalk.Trim(body))
--- a/internal/region/route/host.go
+++ b/internal/region/route/host.go
@@ -14,8 +14,8 @@
 // host holds the routes of one host. A lookup does one binary search for each distinct prefix length, longest first: few
 // searches, regardless of the number of routes.
 type host struct {
-	routes  []*Route       // sorted by path prefix
-	lengths []prefixLength // longest first
+	routes  []*Route       // served routes, sorted by path prefix
+	lengths []prefixLength // distinct lengths of the path prefixes, longest first
 	// shadowed holds routes that are not served because another route of this host has the same prefix. Validation rejects
 	// such routes, but an earlier version accepted them if their hosts differed by the port.
 	shadowed []*Route
@@ -42,7 +42,7 @@
 }
 
 // add adds a route. Of two routes with the same prefix, the one with the lower name is served, regardless of their order,
-// so that a table built by successive changes equals one built from the whole state.
+// so that a table built by successive changes equals a table built from the whole state.
 func (h *host) add(route *Route) {
 	i, taken := h.search(route.PathPrefix)
 	if !taken {
--- a/internal/region/route/parse.go
+++ b/internal/region/route/parse.go
@@ -116,7 +116,8 @@
 	return time.Duration(min(max(ms, 0), float64(maxTime/time.Millisecond)) * float64(time.Millisecond))
 }
 
-// deadlineOf converts a route's deadline in milliseconds. A positive one is never rounded to 0, which means no deadline.
+// deadlineOf converts a route's deadline in milliseconds. A positive deadline is never rounded to 0, which means no
+// deadline.
 func deadlineOf(ms float64) time.Duration {
 	if ms <= 0 {
 		return 0
--- a/internal/region/route/route.go
+++ b/internal/region/route/route.go
@@ -1,7 +1,7 @@
 // Package route compiles the operator's configuration into an immutable lookup table: the route of a request, the
 // services of the route, and the settings of those services. A change creates a new table, so that readers need no lock.
 // Package configitem parses the bodies of items. Servers are the subject of package placement.
-// docs/design/regional.md describes the system around it.
+// docs/design/regional.md describes the system around the package.
 package route
 
 import (
@@ -83,13 +83,13 @@
 type Service struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int           // maximum number that one server accepts from all callers together; 0: not set
+	MaxConnections int           // maximum number of connections that one server accepts from all callers together; 0: not set
 	Warmup         time.Duration // how long a server warms up after a start; 0: no slow start
 	WarmRate       float64       // requests per second that a server may get while warming up; 0: no slow start
 	Runtime        *Runtime      // nil: not a model server
 }
 
-// HasSlowStart reports whether requests to servers of the service are limited while those warm up.
+// HasSlowStart reports whether requests to servers of the service are limited while the servers warm up.
 func (s *Service) HasSlowStart() bool { return s.Warmup > 0 && s.WarmRate > 0 }
 
 // Runtime describes the engine of a model server.
--- a/internal/region/route/table.go
+++ b/internal/region/route/table.go
@@ -16,10 +16,10 @@
 // Table is a configuration compiled for lookups. It is immutable and safe for concurrent use. A change creates a new
 // table, which shares unchanged parts with the old one.
 type Table struct {
-	routes    []*Route         // sorted by name
-	hosts     map[string]*host // by canonical host
-	services  map[string]*Service
-	evacuated []string // zones, sorted
+	routes    []*Route            // routes sorted by name
+	hosts     map[string]*host    // hosts by canonical name
+	services  map[string]*Service // services by name
+	evacuated []string            // evacuated zones, sorted
 	limits    RequestLimits
 }
 
@@ -49,9 +49,9 @@
 	return built.Table, built.LeftOut
 }
 
-// Rebuild returns the table after a change. It removes the items of removals, and then adds or replaces those of upserts
-// by kind and name. With replacesAll it also removes the operator's items that are not in upserts, but no evacuations.
-// Items of unknown kinds are ignored.
+// Rebuild returns the table after a change. It removes the items of removals, and then adds or replaces the items of
+// upserts by kind and name. With replacesAll it also removes the operator's items that are not in upserts, but no
+// evacuations. Items of unknown kinds are ignored.
 //
 // The table depends only on the items in force. An item with an unusable body therefore does not keep the earlier item of
 // its name in place: the change has superseded that item, and a proxy that starts now would not have it.
@@ -153,7 +153,7 @@
 	}
 }
 
-// add adds an item, or replaces the earlier one of its kind and name.
+// add adds an item, or replaces the earlier item of its kind and name.
 func (c *change) add(item *pb.Item) {
 	c.remove(item.GetKind(), item.GetName()) // the item may occur twice in one change
 	switch item.GetKind() {
