--- a/internal/region/limits/members.go
+++ b/internal/region/limits/members.go
@@ -14,7 +14,7 @@
 type member struct {
 	host   string
 	region string
-	hash   uint64 // of the host
+	hash   uint64 // hash of the host name
 }
 
 // membersOf returns the members listed in quotaMembers, sorted by host and without duplicate hosts.
--- a/internal/region/limits/retry.go
+++ b/internal/region/limits/retry.go
@@ -94,9 +94,9 @@
 }
 
 // extraShare returns the number of extra retries of a service that this proxy may use: an equal share, rounded down,
-// plus one if this proxy is among the first in the service's rendezvous order, which share the remainder. The share
-// is 0 until one window has passed since the start of the process, because earlier incarnations of the process may
-// have used the share, and a process that restarts repeatedly would use it several times in one window.
+// plus one if this proxy is among the first proxies in the service's rendezvous order, which share the remainder. The
+// share is 0 until one window has passed since the start of the process, because earlier incarnations of the process
+// may have used the share, and a process that restarts repeatedly would use it several times in one window.
 func (b *RetryBudget) extraShare(now time.Duration, service string) int {
 	if b.proxies == 0 || now < b.config.Window+bucketWidth {
 		return 0
--- a/internal/region/limits/slowstart.go
+++ b/internal/region/limits/slowstart.go
@@ -14,9 +14,9 @@
 	// at most the whole limit.
 	primaryFraction = 0.5
 	// spareFraction is the fraction of the limit that the spare positions share. Spare positions follow the primary
-	// ones, and are used when only servers that are warming up are available.
+	// positions, and are used when only servers that are warming up are available.
 	spareFraction = 0.25
-	// maxPositions bounds the primary positions of a server, and also its spare positions. With more, each position
+	// maxPositions bounds the primary positions of a server, and also its spare positions. With more positions, each
 	// would have little more than its burst of one request.
 	maxPositions = 3
 	// minRate is the lowest useful rate of a position, in requests a second.
@@ -71,7 +71,7 @@
 
 // bucket is the token bucket for one server.
 type bucket struct {
-	tokens float64 // at most 1
+	tokens float64 // number of requests that may be sent now; at most 1
 	usedAt time.Duration
 }
 
