--- a/internal/region/proxy/configstream.go
+++ b/internal/region/proxy/configstream.go
@@ -14,7 +14,8 @@
 )
 
 // configStream implements the RPC service ProxyFeed, which the agent on the same machine calls to deliver the
-// configuration, server lists and quota shares. It is safe for concurrent use; updates are applied one at a time.
+// configuration, server lists and quota members (the proxies that share the common limits). It is safe for concurrent
+// use; updates are applied one at a time.
 type configStream struct {
 	mu                  sync.Mutex // serializes Apply, so that the placer gets snapshots in order
 	host                string
@@ -25,7 +26,7 @@
 	announcer           *announcer
 	lifecycle           *lifecycle
 	counters            *counters
-	quotaMembersVersion atomic.Pointer[pb.QuotaMembersVersion] // version of the quota shares in force
+	quotaMembersVersion atomic.Pointer[pb.QuotaMembersVersion] // version of the quota members in force
 	logger              *zap.Logger
 	liveness            *agentLiveness
 	clock               func() time.Duration // monotonic clock, see process.now
@@ -33,7 +34,7 @@
 	onSnapshot func(*snapshot, update)
 }
 
-// Apply applies changes, a full state, a server list and quota shares, and returns the status afterwards. A request
+// Apply applies changes, a full state, a server list and quota members, and returns the status afterwards. A request
 // that was addressed to an earlier incarnation of this proxy is ignored, because the agent obtained its confirmation
 // of the state before this process started.
 func (s *configStream) Apply(_ context.Context, request *connect.Request[pb.ApplyRequest]) (*connect.Response[pb.ProxyStatus], error) {
@@ -63,8 +64,8 @@
 	return connect.NewResponse(s.status(current)), nil
 }
 
-// applyQuotaMembers puts quota shares in force, unless later ones of the same agent process are in force already. A call
-// that the agent has abandoned may arrive after the call that followed it.
+// applyQuotaMembers puts quota members in force, unless a later version from the same agent process is in force
+// already. A call that the agent has abandoned may arrive after the call that followed it.
 func (s *configStream) applyQuotaMembers(members *pb.QuotaMembers) {
 	if members == nil || limits.IsOutdated(members.GetVersion(), s.quotaMembersVersion.Load()) {
 		return
--- a/internal/region/proxy/process_test.go
+++ b/internal/region/proxy/process_test.go
@@ -89,7 +89,7 @@
 	return response.StatusCode
 }
 
-// configure applies a configuration, a list with one server, and quota shares.
+// configure applies a configuration, a list with one server, and quota members.
 func (r *testProcess) configure(server *fakeServer) *pb.ProxyStatus {
 	return r.apply(&pb.ApplyRequest{
 		Changes: []*pb.Change{testChange()},
