--- a/internal/region/policy/policy.go
+++ b/internal/region/policy/policy.go
@@ -1,7 +1,7 @@
 // Package policy names the mechanisms that determine a proxy's decisions, so that each can be switched off: by an
 // operator who suspects that it is faulty, or to measure its contribution (ablation). No rule of docs/region/rules.md
-// depends on any of them; what enforces a rule has no switch. The mechanisms are implemented in the packages that use
-// them, mostly placement and proxy. The package is stateless.
+// depends on any of them; code that enforces a rule has no switch. The mechanisms are implemented in the packages that
+// use them, mostly placement and proxy. The package is stateless.
 package policy
 
 import (
@@ -19,10 +19,10 @@
 	PromptAffinity    Mechanism = iota // requests with shared chunks prefer one server of a region, chosen by rendezvous hashing
 	PrefixCache                        // an index of the prefixes that were sent to each server predicts what is cached there
 	PrefillPrice                       // prefilling shared chunks again has a cost in addition to its time
-	Softmax                            // servers are drawn at random by their predictions; off: the best one is always chosen
+	Softmax                            // servers are drawn by a softmax over their predictions; off: the best server is always chosen
 	SortedWalk                         // servers are taken from a sorted list while many answers are late
 	Subset                             // a proxy distributes its requests over a subset of a region's servers
-	Spill                              // requests are sent to other regions while those are expected to answer sooner
+	Spill                              // requests are sent to other regions while the servers there are expected to answer sooner
 	ZonePreference                     // servers of other zones have a cost in addition to their latency
 	PrefillRate                        // the prefill time of a token is estimated from answers
 	Announcements                      // prompts with a long prefill are announced to the other proxies of the region
@@ -99,7 +99,7 @@
 
 // UnknownError reports a name that is not the name of a mechanism.
 type UnknownError struct {
-	Name string // as given
+	Name string // name as given
 }
 
 // Error implements error.
