--- a/internal/region/packing/compressor.go
+++ b/internal/region/packing/compressor.go
@@ -22,7 +22,7 @@
 type Key struct {
 	Base     uint64 // sequence of the replica before the update
 	Sequence uint64 // sequence of the replica after the update
-	Digests  uint64 // DigestsKey of the replica's digests, if the update is a repair in response to them
+	Digests  uint64 // DigestsKey of the replica's digests, if the update is a repair in response to digests
 	Complete bool   // the update is a repair of all ranges, which applies to any earlier replica
 }
 
