--- a/internal/region/shuffle/candidates.go
+++ b/internal/region/shuffle/candidates.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// refill fills free slots with random candidates: first with those of the own region, up to ownRegionSlots, then with
-// any. If the view is empty, the recorded failures are cleared, because the fault may be on this side.
+// refill fills free slots with random candidates: first with candidates of the member's own region, up to
+// ownRegionSlots, then with candidates of any region. If the view is empty, the recorded failures are cleared, because
+// the fault may be this member's own.
 func (v *View) refill(now time.Duration) {
 	if len(v.neighbours) == 0 && v.pending.host == "" {
 		clear(v.failedUntil)
@@ -34,7 +35,7 @@
 	v.insert(now, member)
 }
 
-// receiveMembers records the members that control knows as candidates, and refills free slots.
+// receiveMembers records the members that a control machine knows as candidates, and refills free slots.
 func (v *View) receiveMembers(now time.Duration, members []Neighbour) {
 	candidates := make([]Neighbour, 0, min(len(members), maxCandidates))
 	for _, member := range members {
--- a/internal/region/shuffle/events.go
+++ b/internal/region/shuffle/events.go
@@ -6,7 +6,7 @@
 // Tick reports that time has passed. The caller must send it several times in each ExchangeInterval.
 type Tick struct{}
 
-// MembersReceived holds the members that a control machine knows. They replace those received earlier.
+// MembersReceived holds the members that a control machine knows. They replace the members received earlier.
 type MembersReceived struct{ Members []Neighbour }
 
 // ExchangeRequested is an exchange initiated by another member. The resulting action holds the answer.
--- a/internal/region/shuffle/exchange.go
+++ b/internal/region/shuffle/exchange.go
@@ -3,10 +3,10 @@
 import "time"
 
 // pendingExchange is an exchange that this member initiated and that has not been answered. The zero value means that
-// there is none.
+// no exchange is pending.
 type pendingExchange struct {
-	host string // the partner
-	sent []Neighbour
+	host string      // host of the partner
+	sent []Neighbour // sample sent to the partner
 }
 
 // tick initiates an exchange if one is due.
@@ -30,9 +30,9 @@
 	return interval - time.Duration(fifth) + time.Duration(v.random.Int64N(2*fifth))
 }
 
-// beginExchange increments the age of all neighbours, removes the oldest one from the view and sends it a sample. The
-// slot of that partner stays free until the partner answers, so that a failed partner leaves the view without further
-// action.
+// beginExchange increments the age of all neighbours, removes the oldest neighbour from the view and sends it a sample.
+// The slot of that partner stays free until the partner answers, so that a failed partner leaves the view without
+// further action.
 func (v *View) beginExchange() []Action {
 	if len(v.neighbours) == 0 {
 		return nil
--- a/internal/region/shuffle/shuffle.go
+++ b/internal/region/shuffle/shuffle.go
@@ -21,7 +21,7 @@
 	// connected through more failures, but more exchanges are needed to refresh them.
 	ViewSize = 8
 	// ExchangeSize is the largest number of neighbours that one side sends in an exchange (Cyclon's shuffle length).
-	// The initiator counts itself.
+	// The initiator's own entry counts as one of them.
 	ExchangeSize = 4
 	// ExchangeInterval is the mean time between two exchanges that a member initiates.
 	ExchangeInterval = 5 * time.Second
@@ -35,7 +35,7 @@
 	failureRetention = 3 * ExchangeInterval
 	// maxFailures bounds the number of failed members that are recorded.
 	maxFailures = 64
-	// maxCandidates bounds the number of members from control that are recorded.
+	// maxCandidates bounds the number of members from the control machines that are recorded.
 	maxCandidates = 1024
 )
 
@@ -55,8 +55,8 @@
 	self           Neighbour
 	random         *rand.Rand
 	neighbours     []Neighbour
-	candidates     []Neighbour              // members from control, used to refill free slots
-	failedUntil    map[string]time.Duration // by host; until then, samples from others don't reinsert the host
+	candidates     []Neighbour              // members from the control machines, used to refill free slots
+	failedUntil    map[string]time.Duration // by host: end of the time in which samples from other members do not reinsert the host
 	nextExchangeAt time.Duration
 	started        bool
 	pending        pendingExchange
--- a/internal/region/shuffle/slots.go
+++ b/internal/region/shuffle/slots.go
@@ -3,7 +3,7 @@
 import "time"
 
 // merge inserts received members and then evicts neighbours until the view fits: first those that were sent to the
-// other side, which now has them, then the oldest ones. The slots reserved by region are preserved.
+// other side, which now has them, then the oldest neighbours. The slots reserved by region are preserved.
 func (v *View) merge(now time.Duration, received, sent []Neighbour) {
 	for _, member := range received {
 		v.insert(now, member)
@@ -54,7 +54,8 @@
 	return oldest
 }
 
-// hasSlotFor reports whether there is a slot for a member, either a free one or one that is reserved for its region.
+// hasSlotFor reports whether there is a slot for a member, either a free slot or a slot that is reserved for its
+// region.
 func (v *View) hasSlotFor(member Neighbour) bool {
 	inOwnRegion := v.countOwnRegion()
 	if member.Region == v.self.Region {
