--- a/internal/region/jsonwalk/walk.go
+++ b/internal/region/jsonwalk/walk.go
@@ -30,8 +30,8 @@
 // IsNull reports whether a value is null.
 func IsNull(value []byte) bool { return string(value) == "null" }
 
-// Members yields the members of an object in the order of the input, each value as a slice of it. Keys are in the
-// form that Unquoted returns; compare them directly, or copy them with TextOf.
+// Members yields the members of an object in the order of the input, each value as a slice of the input. Keys are in
+// the form that Unquoted returns; compare them directly, or copy them with TextOf.
 func Members(object []byte) iter.Seq2[[]byte, []byte] {
 	return func(yield func(key, value []byte) bool) {
 		position := skipSpace(object, 1)
