--- a/internal/region/configitem/destination.go
+++ b/internal/region/configitem/destination.go
@@ -67,8 +67,8 @@
 	return destination, faults
 }
 
-// parseSplit parses the list of a split. It returns the elements, the sum of their weights, and faults with those of
-// the list appended. An element that cannot be parsed has weight 0 and no service.
+// parseSplit parses the list of a split. It returns the elements, the sum of their weights, and faults with the
+// faults of the list appended. An element that cannot be parsed has weight 0 and no service.
 func parseSplit(list []byte, faults []FieldError) ([]WeightedService, float64, []FieldError) {
 	var services []WeightedService
 	total := 0.0
@@ -84,8 +84,8 @@
 	return services, total, faults
 }
 
-// parseWeightedService parses one element of a split. It returns the element, and faults with those of the element
-// appended.
+// parseWeightedService parses one element of a split. It returns the element, and faults with the faults of the
+// element appended.
 func parseWeightedService(element []byte, index int, faults []FieldError) (WeightedService, []FieldError) {
 	var weighted WeightedService
 	if !jsonwalk.IsObject(element) {
--- a/internal/region/configitem/fielderror.go
+++ b/internal/region/configitem/fielderror.go
@@ -10,7 +10,7 @@
 // error.
 type FieldError struct {
 	Field  string // name of the member, for example "deadline-ms"; empty for the whole item
-	Reason string
+	Reason string // what is wrong with the member, for example "is not a number"
 }
 
 // Error returns the member and the reason.
--- a/internal/region/configitem/limits.go
+++ b/internal/region/configitem/limits.go
@@ -12,10 +12,10 @@
 
 // Limits bounds what a client may send and how long it may take. 0 means that the member is missing.
 type Limits struct {
-	MaxHeader  float64 // bytes
-	MaxBody    float64 // bytes
-	HeaderRead float64 // milliseconds to read a request's header
-	KeepAlive  float64 // milliseconds that a connection may stay idle
+	MaxHeader  float64 // maximum size of a request's header, in bytes
+	MaxBody    float64 // maximum size of a request's body, in bytes
+	HeaderRead float64 // maximum time to read a request's header, in milliseconds
+	KeepAlive  float64 // maximum time that a connection may stay idle, in milliseconds
 }
 
 // ParseLimits parses the body of the setting that holds the request limits. It also returns the faults of members
--- a/internal/region/configitem/service.go
+++ b/internal/region/configitem/service.go
@@ -18,7 +18,7 @@
 
 // Service is the configuration of a service. A member that is missing is 0 or empty.
 type Service struct {
-	HealthPath     string
+	HealthPath     string   // path of a server's health check
 	MaxConnections float64  // maximum number of connections that one server accepts from all callers together
 	Warmup         float64  // duration of a server's warm-up after its start, in seconds
 	WarmRate       float64  // requests a second that a server accepts while warming up
@@ -27,10 +27,10 @@
 
 // Runtime is the configuration of the engine of model servers.
 type Runtime struct {
-	Capacity    float64 // number of requests that run concurrently
-	CacheTokens float64 // number of tokens that fit into the KV cache
-	Stride      float64 // maximum number of tokens in one event of a stream
-	Models      []string
+	Capacity    float64  // number of requests that run concurrently
+	CacheTokens float64  // number of tokens that fit into the KV cache
+	Stride      float64  // maximum number of tokens in one event of a stream
+	Models      []string // names of the models
 }
 
 // ParseService parses the body of a service. It also returns the faults of members that cannot be used. A body that
