--- a/internal/region/configitem/options.go
+++ b/internal/region/configitem/options.go
@@ -22,7 +22,7 @@
 	Kind           Kind     // KindMutating, the most restrictive kind, if missing
 	Target         float64  // latency target of a response, or of the first event of a stream
 	EventGapTarget float64  // target for the longest gap between two events of a stream
-	Priority       float64  // 0 is the most urgent
+	Priority       float64  // priority of requests; 0 is the most urgent
 	MaxAttempts    float64  // maximum number of servers to which one request may be sent
 	PromptAffinity bool     // requests identify the chunks of their prompts
 	Resumable      bool     // a stream may be resumed on another server
--- a/internal/region/lag/timeline.go
+++ b/internal/region/lag/timeline.go
@@ -21,7 +21,7 @@
 // Timeline records in a ring buffer of fixed size when the latest sequence numbers were reached. Its methods do not
 // allocate. The zero value is empty and ready for use. A Timeline is not safe for concurrent use.
 type Timeline struct {
-	ring   [timelineCapacity]entry // in ascending order of sequence and time, starting at index oldest
+	ring   [timelineCapacity]entry // entries in ascending order of sequence and time, starting at index oldest
 	oldest int                     // index of the oldest entry
 	count  int
 }
@@ -34,8 +34,9 @@
 	return t.entry(t.count - 1).sequence
 }
 
-// Record records that a sequence number was reached at a time, which must not be earlier than those of previous entries.
-// A number that is not above the newest one is ignored. If the ring buffer is full, the oldest entry is overwritten.
+// Record records that a sequence number was reached at a time, which must not be earlier than the times of previous
+// entries. A number that is not above the newest one is ignored. If the ring buffer is full, the oldest entry is
+// overwritten.
 func (t *Timeline) Record(sequence uint64, at time.Duration) {
 	if sequence <= t.Newest() {
 		return
--- a/internal/region/limits/slowstart.go
+++ b/internal/region/limits/slowstart.go
@@ -53,12 +53,12 @@
 // any second a proxy sends at most 1 + rate requests.
 //
 // With k primary positions of rate r, k(1+r) is half of the limit. If only servers that are warming up are available
-// for a request, the proxies in the next j positions, the spare ones of rate q, may send as well: j(1+q) is a quarter
-// of the limit. Spare positions are used only after the members have been unchanged for membershipStabilizationWindow.
-// The sets that two proxies know then differ by at most one member (a longer network partition also separates the far
-// side from the server's region), which adds one position of each kind. The sum is 1/2 + 1/4 + 1/(2k) + 1/(4j) of the
-// limit, which is at most the whole limit if k and j are 3 or more. With fewer positions of either kind there are no
-// spare ones.
+// for a request, the proxies in the next j positions, the spare positions of rate q, may send as well: j(1+q) is a
+// quarter of the limit. Spare positions are used only after the members have been unchanged for
+// membershipStabilizationWindow. The sets that two proxies know then differ by at most one member (a longer network
+// partition also separates the far side from the server's region), which adds one position of each kind. The sum is
+// 1/2 + 1/4 + 1/(2k) + 1/(4j) of the limit, which is at most the whole limit if k and j are 3 or more. With fewer
+// positions of either kind there are no spare positions.
 type SlowStartLimiter struct {
 	config             SlowStartConfig
 	host               string
--- a/internal/region/limits/windowcounts.go
+++ b/internal/region/limits/windowcounts.go
@@ -10,12 +10,11 @@
 
 // windowCounts counts the requests to one service and their retries over the last two windows, in a ring of buckets.
 //
-// The retry limit compares the retries in a window that begins at any instant with the largest of three request
-// counts: those of the same window, of the preceding window, and of the window that begins half a window earlier.
+// The retry limit compares the retries in a window that begins at any instant with the largest of three request counts:
+// the counts of the same window, of the preceding window, and of the window that begins half a window earlier.
 // windowCounts uses the mean of the three instead, which is never more than the largest. Unlike the largest, the mean
-// is linear in the requests, so the counts of several proxies, each of its own requests, add up to the mean over all
-// of them. The sum therefore stays within the limit even if the proxies' traffic differs or one of the proxies
-// restarts.
+// is linear in the requests, so the counts of several proxies, each of its own requests, add up to the mean over all of
+// them. The sum therefore stays within the limit even if the proxies' traffic differs or one of the proxies restarts.
 type windowCounts struct {
 	requests []uint32
 	retries  []uint32
--- a/internal/region/packing/compressor.go
+++ b/internal/region/packing/compressor.go
@@ -50,7 +50,7 @@
 // entry is the cached result for a key.
 type entry struct {
 	key        Key
-	compressed *pb.CompressedUpdate // nil if the update is smaller than MinSize
+	compressed *pb.CompressedUpdate // compressed update; nil if the encoded update is smaller than MinSize
 }
 
 // Compressed returns the compressed update for a key, or nil if the encoded update is smaller than MinSize. It calls
--- a/internal/region/placement/candidates.go
+++ b/internal/region/placement/candidates.go
@@ -12,7 +12,7 @@
 	// bound keeps the speed estimates recent and the connections few, and the cost of a pick independent of the region's
 	// size. Servers that have a prefix of the prompt cached are candidates in addition.
 	subsetSize = 12
-	// Requests spill over to another region once its servers are expected to answer sooner than the local ones by more
+	// Requests spill over to another region once its servers are expected to answer sooner than the local servers by more
 	// than spillStartMargin, the round trip included, and stop doing so when the difference falls below
 	// spillStopMargin.
 	spillStartMargin = 150 * time.Millisecond
--- a/internal/region/placement/chunks.go
+++ b/internal/region/placement/chunks.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxChunks is the maximum number of chunks of a prompt that are parsed; later ones are ignored.
+// maxChunks is the maximum number of chunks of a prompt that are parsed; later chunks are ignored.
 const maxChunks = 32
 
 // PromptChunk is a contiguous run of tokens of a prompt. Chunks may be shared between requests, except for the last
--- a/internal/region/placement/eligibility.go
+++ b/internal/region/placement/eligibility.go
@@ -101,7 +101,7 @@
 }
 
 // lastResortServers returns the servers that are warming up and that the slow start limiter allows for requests without
-// another server. It returns those of other regions only if there is none in this proxy's region.
+// another server. It returns servers of other regions only if this proxy's region has no such server.
 func (p *Placer) lastResortServers(now time.Duration) []*server {
 	buffers := &p.buffers
 	allowed := buffers.local[:0]
--- a/internal/region/placement/server.go
+++ b/internal/region/placement/server.go
@@ -106,7 +106,7 @@
 	return s.retired || s.draining || (s.expiresAt > 0 && now >= s.expiresAt)
 }
 
-// removeUnanswered removes an attempt from the list of those that wait for their first event, if it is in the list.
+// removeUnanswered removes an attempt from the attempts that wait for their first event, if it is one of them.
 func (s *server) removeUnanswered(a *attempt) {
 	i := slices.Index(s.unanswered, a)
 	if i < 0 {
--- a/internal/region/placement/serverlist.go
+++ b/internal/region/placement/serverlist.go
@@ -23,7 +23,7 @@
 	p.listNumber++
 	listed := make(map[string]bool, len(servers))
 	changed := map[*service]bool{}
-	added := map[string]*server{} // by address
+	added := map[string]*server{} // added servers by address
 	for _, entry := range servers {
 		listed[entry.GetId()] = true
 		known := p.servers[entry.GetId()]
--- a/internal/region/placement/service.go
+++ b/internal/region/placement/service.go
@@ -74,7 +74,7 @@
 // servesModel reports whether the service's servers run a model, and thus prefill prompts.
 func (s *service) servesModel() bool { return s.config != nil && s.config.Runtime != nil }
 
-// typicalOf returns the estimate of the typical speed of the servers in this proxy's region or in the others.
+// typicalOf returns the estimate of the typical speed of the servers in this proxy's region or in other regions.
 func (s *service) typicalOf(local bool) *selection.Estimate {
 	if local {
 		return &s.localSpeed
--- a/internal/region/proxy/connlimits.go
+++ b/internal/region/proxy/connlimits.go
@@ -30,7 +30,7 @@
 	keepAlive  time.Duration // maximum idle time between requests
 }
 
-// connLimitsOf returns the configured limits, with defaults for missing ones and with slack added.
+// connLimitsOf returns the configured limits, with defaults for missing limits and with slack added.
 func connLimitsOf(configured route.RequestLimits) connLimits {
 	limits := connLimits{maxHeader: defaultMaxHeader, headerRead: defaultHeaderRead, keepAlive: defaultKeepAlive}
 	if configured.MaxHeaderBytes > 0 {
@@ -60,7 +60,7 @@
 	superseded atomic.Bool // wider limits are in force
 }
 
-// ServeHTTP serves a request. A connection whose limits are narrower than those in force is closed after the
+// ServeHTTP serves a request. A connection whose limits are narrower than the limits in force is closed after the
 // response, so that the client connects again and gets the new limits.
 func (h *limitedHandler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if h.superseded.Load() {
--- a/internal/region/route/host.go
+++ b/internal/region/route/host.go
@@ -57,7 +57,7 @@
 	h.shadowed = append(h.shadowed, route)
 }
 
-// remove removes a route. If the route shadowed others, the one with the lowest name takes its place.
+// remove removes a route. If the route shadowed other routes, the one with the lowest name takes its place.
 func (h *host) remove(route *Route) {
 	i, found := h.search(route.PathPrefix)
 	if !found || h.routes[i] != route {
@@ -72,7 +72,8 @@
 	h.addLength(len(route.PathPrefix), -1)
 }
 
-// unshadow removes the shadowed route with the lowest name from those of a prefix, and returns it; nil if there is none.
+// unshadow removes, from the shadowed routes of a prefix, the route with the lowest name, and returns it. It returns
+// nil if no route of the prefix is shadowed.
 func (h *host) unshadow(prefix string) *Route {
 	lowest := -1
 	for i, route := range h.shadowed {
--- a/internal/region/route/route.go
+++ b/internal/region/route/route.go
@@ -34,8 +34,8 @@
 	Deadline       time.Duration     // maximum duration of a request; 0: not set
 	Target         time.Duration     // latency within which an answer (a stream's first event) has its full value; 0: not set
 	EventGapTarget time.Duration     // maximum gap between a stream's events that counts as in time; 0: not set
-	Priority       int               // 0 is the most urgent
-	Split          []WeightedService // empty if no service can be parsed: all requests are rejected
+	Priority       int               // priority of requests; 0 is the most urgent
+	Split          []WeightedService // weighted services; empty if no service can be parsed: all requests are rejected
 	MaxAttempts    int               // maximum number of attempts of one request, each at another server; at least 1
 	PromptAffinity bool              // requests list the chunks of their prompts
 	Resumable      bool              // a stream may be resumed at another server
--- a/internal/region/shuffle/shuffle.go
+++ b/internal/region/shuffle/shuffle.go
@@ -26,9 +26,11 @@
 	// ExchangeInterval is the mean time between two exchanges that a member initiates.
 	ExchangeInterval = 5 * time.Second
 
-	// ownRegionSlots is the number of neighbours of the member's own region that are not evicted in favour of others.
+	// ownRegionSlots is the number of neighbours of the member's own region that are not evicted in favour of other
+	// regions.
 	ownRegionSlots = ViewSize / 2
-	// otherRegionSlots is the number of neighbours of other regions that are not evicted in favour of others.
+	// otherRegionSlots is the number of neighbours of other regions that are not evicted in favour of the
+	// member's own region.
 	otherRegionSlots = 1
 	// failureRetention is how long a member that failed is not inserted again, because samples of other members may
 	// still contain it.
--- a/internal/region/shuffle/slots.go
+++ b/internal/region/shuffle/slots.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// merge inserts received members and then evicts neighbours until the view fits: first those that were sent to the
-// other side, which now has them, then the oldest neighbours. The slots reserved by region are preserved.
+// merge inserts received members and then evicts neighbours until the view fits: first the neighbours that were sent to
+// the other side, which now has them, then the oldest neighbours. The slots reserved by region are preserved.
 func (v *View) merge(now time.Duration, received, sent []Neighbour) {
 	for _, member := range received {
 		v.insert(now, member)
@@ -47,7 +47,8 @@
 			oldest = i
 		}
 	}
-	// There are fewer reserved slots than slots, so either the own region or the others must have a surplus.
+	// There are fewer reserved slots than slots, so either the member's own region or the other regions have
+	// more neighbours than reserved slots.
 	if oldest < 0 {
 		panic("shuffle: no neighbour may be evicted: more slots are reserved than ViewSize")
 	}
