--- a/internal/region/limits/slowstart.go
+++ b/internal/region/limits/slowstart.go
@@ -14,9 +14,9 @@
 	// at most the whole limit.
 	primaryFraction = 0.5
 	// spareFraction is the fraction of the limit that the spare positions share. Spare positions follow the primary
-	// ones, and are used when only servers that are warming up are available.
+	// positions, and are used when only servers that are warming up are available.
 	spareFraction = 0.25
-	// maxPositions bounds the primary positions of a server, and also its spare positions. With more, each position
+	// maxPositions bounds the primary positions of a server, and also its spare positions. With more positions, each
 	// would have little more than its burst of one request.
 	maxPositions = 3
 	// minRate is the lowest useful rate of a position, in requests a second.
@@ -24,8 +24,8 @@
 	// startupWait is how long a proxy treats its share as unknown after it first learnt a majority of the members.
 	// When many processes start at once, the first member lists are incomplete.
 	startupWait = 2 * time.Second
-	// membershipSettleTime is how long the members must have been unchanged before spare positions are used.
-	membershipSettleTime = 5 * time.Second
+	// membershipStabilizationWindow is how long the members must have been unchanged before spare positions are used.
+	membershipStabilizationWindow = 5 * time.Second
 	// maxBuckets bounds the number of servers with a token bucket.
 	maxBuckets = 4096
 	// bucketIdleTimeout is how long a bucket is kept after its last use. It is longer than a bucket takes to fill, so
@@ -53,12 +53,12 @@
 // any second a proxy sends at most 1 + rate requests.
 //
 // With k primary positions of rate r, k(1+r) is half of the limit. If only servers that are warming up are available
-// for a request, the proxies in the next j positions, the spare ones of rate q, may send as well: j(1+q) is a quarter
-// of the limit. Spare positions are used only after the members have been unchanged for membershipSettleTime. The
-// sets that two proxies know then differ by at most one member (a longer network partition also separates the far
-// side from the server's region), which adds one position of each kind. The sum is 1/2 + 1/4 + 1/(2k) + 1/(4j) of the
-// limit, which is at most the whole limit if k and j are 3 or more. With fewer positions of either kind there are no
-// spare ones.
+// for a request, the proxies in the next j positions, the spare positions of rate q, may send as well: j(1+q) is a
+// quarter of the limit. Spare positions are used only after the members have been unchanged for
+// membershipStabilizationWindow. The sets that two proxies know then differ by at most one member (a longer network
+// partition also separates the far side from the server's region), which adds one position of each kind. The sum is
+// 1/2 + 1/4 + 1/(2k) + 1/(4j) of the limit, which is at most the whole limit if k and j are 3 or more. With fewer
+// positions of either kind there are no spare positions.
 type SlowStartLimiter struct {
 	config             SlowStartConfig
 	host               string
@@ -71,7 +71,7 @@
 
 // bucket is the token bucket for one server.
 type bucket struct {
-	tokens float64 // at most 1
+	tokens float64 // number of requests that may be sent now; at most 1
 	usedAt time.Duration
 }
 
@@ -166,7 +166,7 @@
 		return 0, false
 	case own < plan.primaries:
 		return plan.primaryRate, true
-	case lastResort && own < plan.primaries+plan.spares && now-l.changedAt >= membershipSettleTime:
+	case lastResort && own < plan.primaries+plan.spares && now-l.changedAt >= membershipStabilizationWindow:
 		return plan.spareRate, true
 	}
 	return 0, false
--- a/internal/region/packing/compressor.go
+++ b/internal/region/packing/compressor.go
@@ -22,7 +22,7 @@
 type Key struct {
 	Base     uint64 // sequence of the replica before the update
 	Sequence uint64 // sequence of the replica after the update
-	Digests  uint64 // DigestsKey of the replica's digests, if the update is a repair in response to them
+	Digests  uint64 // DigestsKey of the replica's digests, if the update is a repair in response to digests
 	Complete bool   // the update is a repair of all ranges, which applies to any earlier replica
 }
 
@@ -50,7 +50,7 @@
 // entry is the cached result for a key.
 type entry struct {
 	key        Key
-	compressed *pb.CompressedUpdate // nil if the update is smaller than MinSize
+	compressed *pb.CompressedUpdate // compressed update; nil if the encoded update is smaller than MinSize
 }
 
 // Compressed returns the compressed update for a key, or nil if the encoded update is smaller than MinSize. It calls
--- a/internal/region/placement/candidates.go
+++ b/internal/region/placement/candidates.go
@@ -12,7 +12,7 @@
 	// bound keeps the speed estimates recent and the connections few, and the cost of a pick independent of the region's
 	// size. Servers that have a prefix of the prompt cached are candidates in addition.
 	subsetSize = 12
-	// Requests spill over to another region once its servers are expected to answer sooner than the local ones by more
+	// Requests spill over to another region once its servers are expected to answer sooner than the local servers by more
 	// than spillStartMargin, the round trip included, and stop doing so when the difference falls below
 	// spillStopMargin.
 	spillStartMargin = 150 * time.Millisecond
@@ -38,10 +38,10 @@
 // one pick.
 type pickBuffers struct {
 	prompt      prompt
-	local       []*server // eligible, in this proxy's region
-	remote      []*server // eligible, in other regions
-	warmingUp   []*server // excluded by the slow start limiter
-	coolingDown []*server
+	local       []*server // eligible servers in this proxy's region
+	remote      []*server // eligible servers in other regions
+	warmingUp   []*server // servers that the slow start limiter excludes
+	coolingDown []*server // servers that are ejected or avoided
 	candidates  []candidate
 	walkServers []*server
 	speeds      []float64
--- a/internal/region/placement/eligibility.go
+++ b/internal/region/placement/eligibility.go
@@ -13,13 +13,13 @@
 type eligibility uint8
 
 const (
-	eligibilityGone eligibility = iota
+	eligibilityUnavailable eligibility = iota
 	eligibilityEvacuated
-	eligibilityOutsideHome // not in one of the route's home regions
-	eligibilityExcluded    // the request was already sent to it
-	eligibilityWarmingUp   // it is warming up, and this proxy's share of its slow start limit is used up
-	eligibilityFull        // all connections that this proxy may open are in use
-	eligibilityCoolingDown // ejected or avoided: used only if no other server is left
+	eligibilityOutsideHome // the server is outside the route's home regions
+	eligibilityExcluded    // the request was already sent to the server
+	eligibilityWarmingUp   // the server is warming up, and this proxy's share of the slow start limit is used up
+	eligibilityFull        // all connections that this proxy may open to the server are in use
+	eligibilityCoolingDown // the server is ejected or avoided: used only if no other server is left
 	eligible
 )
 
@@ -27,7 +27,7 @@
 func (p *Placer) mandatoryEligibility(now time.Duration, s *server, request *Request) eligibility {
 	switch {
 	case s.unavailable(now):
-		return eligibilityGone
+		return eligibilityUnavailable
 	case p.evacuated[s.zone]:
 		return eligibilityEvacuated
 	case request.Route != nil && !request.Route.AllowsRegion(s.region):
@@ -65,7 +65,7 @@
 	buffers := &p.buffers
 	buffers.local, buffers.remote = buffers.local[:0], buffers.remote[:0]
 	buffers.warmingUp, buffers.coolingDown = buffers.warmingUp[:0], buffers.coolingDown[:0]
-	best := eligibilityGone
+	best := eligibilityUnavailable
 	for _, s := range owner.servers {
 		result := p.eligibility(now, s, request)
 		best = max(best, result)
@@ -101,7 +101,7 @@
 }
 
 // lastResortServers returns the servers that are warming up and that the slow start limiter allows for requests without
-// another server. It returns those of other regions only if there is none in this proxy's region.
+// another server. It returns servers of other regions only if this proxy's region has no such server.
 func (p *Placer) lastResortServers(now time.Duration) []*server {
 	buffers := &p.buffers
 	allowed := buffers.local[:0]
--- a/internal/region/placement/serverlist.go
+++ b/internal/region/placement/serverlist.go
@@ -23,7 +23,7 @@
 	p.listNumber++
 	listed := make(map[string]bool, len(servers))
 	changed := map[*service]bool{}
-	added := map[string]*server{} // by address
+	added := map[string]*server{} // added servers by address
 	for _, entry := range servers {
 		listed[entry.GetId()] = true
 		known := p.servers[entry.GetId()]
@@ -47,15 +47,15 @@
 	}
 }
 
-// retireReplaced marks a server as gone if an added server has its address: it crashed, and the list does not show that
-// yet. It does not mark a server that was added by the same list as the other one, since neither is older.
+// retireReplaced marks a server as retired if an added server has the same address: the older server crashed, and the
+// list does not show that yet. Two servers that were added by the same list are both kept, since neither is older.
 func (p *Placer) retireReplaced(added map[string]*server) {
 	if len(added) == 0 {
 		return
 	}
 	for _, known := range p.servers {
 		if successor := added[known.address]; successor != nil && known.listedFrom < successor.listedFrom {
-			known.gone = true
+			known.retired = true
 		}
 	}
 }
@@ -71,7 +71,7 @@
 }
 
 func (p *Placer) removeServer(known *server) {
-	known.gone = true
+	known.retired = true
 	delete(p.servers, known.id)
 	if p.byKey[uint32(known.hash)] == known {
 		delete(p.byKey, uint32(known.hash))
--- a/internal/region/proxy/dispatcher.go
+++ b/internal/region/proxy/dispatcher.go
@@ -15,7 +15,7 @@
 	SetServers(now time.Duration, servers []*pb.Server, age time.Duration)
 	SetTable(now time.Duration, table *route.Table)
 	SetEvacuated(now time.Duration, zones []string)
-	SetQuotaMembers(now time.Duration, shares *pb.QuotaMembers)
+	SetQuotaMembers(now time.Duration, members *pb.QuotaMembers)
 	ServerWarmingUp(now time.Duration, serverID string, remaining time.Duration)
 	ServerDraining(now time.Duration, serverID string)
 	ServerUnreachable(now time.Duration, serverID string)
@@ -49,7 +49,7 @@
 const reportInterval = time.Second
 
 // drainingCloses is the number of consecutive responses with Connection: close after which a server is considered
-// draining. A single one is not enough, since servers close connections for other reasons too.
+// draining. A single such response is not enough, since servers close connections for other reasons too.
 const drainingCloses = 2
 
 func newDispatcher(placer placer, budget *limits.RetryBudget) *dispatcher {
@@ -117,8 +117,8 @@
 	d.placer.ServerUnreachable(d.now(), server)
 }
 
-// responseReceived records whether a server's response closed its connection. A server that does so drainingCloses
-// times in a row is reported to the placer as draining.
+// responseReceived records whether a server's response closed its connection. After drainingCloses consecutive
+// responses that did, the server is reported to the placer as draining.
 func (d *dispatcher) responseReceived(server string, closed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -170,11 +170,11 @@
 	d.placer.AnnouncementReceived(d.now(), announcement)
 }
 
-func (d *dispatcher) setQuotaShares(shares *pb.QuotaMembers) {
+func (d *dispatcher) setQuotaMembers(members *pb.QuotaMembers) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.placer.SetQuotaMembers(d.now(), shares)
-	d.budget.SetQuotaMembers(shares)
+	d.placer.SetQuotaMembers(d.now(), members)
+	d.budget.SetQuotaMembers(members)
 }
 
 // failureReported implements announcementHandler.
@@ -214,7 +214,7 @@
 	return d.placer.Stats()
 }
 
-// slack returns the placer's slack: the share, from 0 to 1, of responses within their latency target.
+// slack returns the placer's slack: the fraction, from 0 to 1, of responses within their latency target.
 func (d *dispatcher) slack() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/region/route/host.go
+++ b/internal/region/route/host.go
@@ -14,8 +14,8 @@
 // host holds the routes of one host. A lookup does one binary search for each distinct prefix length, longest first: few
 // searches, regardless of the number of routes.
 type host struct {
-	routes  []*Route       // sorted by path prefix
-	lengths []prefixLength // longest first
+	routes  []*Route       // served routes, sorted by path prefix
+	lengths []prefixLength // distinct lengths of the path prefixes, longest first
 	// shadowed holds routes that are not served because another route of this host has the same prefix. Validation rejects
 	// such routes, but an earlier version accepted them if their hosts differed by the port.
 	shadowed []*Route
@@ -42,7 +42,7 @@
 }
 
 // add adds a route. Of two routes with the same prefix, the one with the lower name is served, regardless of their order,
-// so that a table built by successive changes equals one built from the whole state.
+// so that a table built by successive changes equals a table built from the whole state.
 func (h *host) add(route *Route) {
 	i, taken := h.search(route.PathPrefix)
 	if !taken {
@@ -57,7 +57,7 @@
 	h.shadowed = append(h.shadowed, route)
 }
 
-// remove removes a route. If the route shadowed others, the one with the lowest name takes its place.
+// remove removes a route. If the route shadowed other routes, the one with the lowest name takes its place.
 func (h *host) remove(route *Route) {
 	i, found := h.search(route.PathPrefix)
 	if !found || h.routes[i] != route {
@@ -72,7 +72,8 @@
 	h.addLength(len(route.PathPrefix), -1)
 }
 
-// unshadow removes the shadowed route with the lowest name from those of a prefix, and returns it; nil if there is none.
+// unshadow removes, from the shadowed routes of a prefix, the route with the lowest name, and returns it. It returns
+// nil if no route of the prefix is shadowed.
 func (h *host) unshadow(prefix string) *Route {
 	lowest := -1
 	for i, route := range h.shadowed {
--- a/internal/region/route/route.go
+++ b/internal/region/route/route.go
@@ -1,7 +1,7 @@
 // Package route compiles the operator's configuration into an immutable lookup table: the route of a request, the
 // services of the route, and the settings of those services. A change creates a new table, so that readers need no lock.
 // Package configitem parses the bodies of items. Servers are the subject of package placement.
-// docs/design/regional.md describes the system around it.
+// docs/design/regional.md describes the system around the package.
 package route
 
 import (
@@ -34,8 +34,8 @@
 	Deadline       time.Duration     // maximum duration of a request; 0: not set
 	Target         time.Duration     // latency within which an answer (a stream's first event) has its full value; 0: not set
 	EventGapTarget time.Duration     // maximum gap between a stream's events that counts as in time; 0: not set
-	Priority       int               // 0 is the most urgent
-	Split          []WeightedService // empty if no service can be parsed: all requests are rejected
+	Priority       int               // priority of requests; 0 is the most urgent
+	Split          []WeightedService // weighted services; empty if no service can be parsed: all requests are rejected
 	MaxAttempts    int               // maximum number of attempts of one request, each at another server; at least 1
 	PromptAffinity bool              // requests list the chunks of their prompts
 	Resumable      bool              // a stream may be resumed at another server
@@ -59,23 +59,23 @@
 func (r *Route) PickService(draw float64) string {
 	rest := draw * r.total
 	picked := ""
-	for _, share := range r.Split {
-		if share.Weight <= 0 {
+	for _, weighted := range r.Split {
+		if weighted.Weight <= 0 {
 			continue
 		}
-		picked = share.Service
-		if rest < share.Weight {
+		picked = weighted.Service
+		if rest < weighted.Weight {
 			break
 		}
-		rest -= share.Weight
+		rest -= weighted.Weight
 	}
 	return picked
 }
 
 // LeadsTo reports whether requests of the route may be sent to a service.
 func (r *Route) LeadsTo(service string) bool {
-	return slices.ContainsFunc(r.Split, func(share WeightedService) bool {
-		return share.Service == service && share.Weight > 0
+	return slices.ContainsFunc(r.Split, func(weighted WeightedService) bool {
+		return weighted.Service == service && weighted.Weight > 0
 	})
 }
 
@@ -83,13 +83,13 @@
 type Service struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int           // maximum number that one server accepts from all callers together; 0: not set
+	MaxConnections int           // maximum number of connections that one server accepts from all callers together; 0: not set
 	Warmup         time.Duration // how long a server warms up after a start; 0: no slow start
 	WarmRate       float64       // requests per second that a server may get while warming up; 0: no slow start
 	Runtime        *Runtime      // nil: not a model server
 }
 
-// HasSlowStart reports whether requests to servers of the service are limited while those warm up.
+// HasSlowStart reports whether requests to servers of the service are limited while the servers warm up.
 func (s *Service) HasSlowStart() bool { return s.Warmup > 0 && s.WarmRate > 0 }
 
 // Runtime describes the engine of a model server.
