--- a/internal/testkit/history/groups.go
+++ b/internal/testkit/history/groups.go
@@ -5,8 +5,8 @@
 	key, value string
 	attempts   []*Call
 	// shown is what told of the write; nil: nothing did.
-	shown    *Call
-	revision uint64
+	observedBy *Call
+	revision   uint64
 }
 
 type writeName struct{ key, value string }
@@ -67,7 +67,7 @@
 
 func (g *group) check() {
 	g.collectWrites()
-	g.collectShown()
+	g.collectObserved()
 	g.checkWrites()
 	g.checkConditions()
 	g.checkReads()
@@ -88,52 +88,52 @@
 	}
 }
 
-// collectShown takes what answers tell of writes: each value was put to that key, before, and has one revision, which is no
+// collectObserved takes what answers tell of writes: each value was put to that key, before, and has one revision, which is no
 // other one's.
-func (g *group) collectShown() {
+func (g *group) collectObserved() {
 	for _, call := range g.calls {
 		switch {
 		case call.Outcome != OK:
 		case call.Kind == Put || call.Kind == Read:
-			g.show(call, Event{Key: call.Name, Value: call.Value, Revision: call.Revision})
+			g.observe(call, Event{Key: call.Name, Value: call.Value, Revision: call.Revision})
 		case call.Kind == Watch:
 			for _, event := range call.Events {
-				g.show(call, event)
+				g.observe(call, event)
 			}
 		}
 	}
 }
 
-func (g *group) show(by *Call, event Event) {
-	shown := g.writes[writeName{event.Key, event.Value}]
-	if shown == nil {
+func (g *group) observe(by *Call, event Event) {
+	observed := g.writes[writeName{event.Key, event.Value}]
+	if observed == nil {
 		g.checker.report(RuleMixed, []*Call{by}, "value %q of %s was never put", event.Value, event.Key)
 		return
 	}
-	if by.Answered < shown.first().Sent {
-		g.checker.report(RuleMixed, []*Call{shown.first(), by}, "value %q of %s is shown before it was put", event.Value, event.Key)
+	if by.Answered < observed.first().Sent {
+		g.checker.report(RuleMixed, []*Call{observed.first(), by}, "value %q of %s is shown before it was put", event.Value, event.Key)
 	}
-	if rejection := shown.rejection(); rejection != nil {
+	if rejection := observed.rejection(); rejection != nil {
 		g.checker.report(RuleRefused, []*Call{rejection, by}, "value %q of %s is shown though its put was rejected", event.Value, event.Key)
 	}
-	if shown.shown != nil && shown.revision != event.Revision {
-		g.checker.report(RuleMixed, []*Call{shown.shown, by}, "value %q of %s has the revisions %d and %d",
-			event.Value, event.Key, shown.revision, event.Revision)
+	if observed.observedBy != nil && observed.revision != event.Revision {
+		g.checker.report(RuleMixed, []*Call{observed.observedBy, by}, "value %q of %s has the revisions %d and %d",
+			event.Value, event.Key, observed.revision, event.Revision)
 		return
 	}
-	if other := g.byRevision[event.Revision]; other != nil && other != shown {
-		g.checker.report(RuleOrder, []*Call{other.shown, by}, "revision %d of group %s is given twice", event.Revision, g.name)
+	if other := g.byRevision[event.Revision]; other != nil && other != observed {
+		g.checker.report(RuleOrder, []*Call{other.observedBy, by}, "revision %d of group %s is given twice", event.Revision, g.name)
 		return
 	}
-	if shown.shown == nil || by.Answered < shown.shown.Answered {
-		shown.shown = by
+	if observed.observedBy == nil || by.Answered < observed.observedBy.Answered {
+		observed.observedBy = by
 	}
-	shown.revision = event.Revision
-	g.byRevision[event.Revision] = shown
+	observed.revision = event.Revision
+	g.byRevision[event.Revision] = observed
 }
 
-// shownRevision is the highest revision of the group that an answer shows.
-func shownRevision(call *Call) uint64 {
+// observedRevision is the highest revision of the group that an answer shows.
+func observedRevision(call *Call) uint64 {
 	switch call.Outcome {
 	case OK, Mismatch:
 		return call.Revision
@@ -144,16 +144,16 @@
 
 // checkWrites requires that the revision of a write is above all that were shown before it was sent first.
 func (g *group) checkWrites() {
-	earlier := newHighest(g.calls, shownRevision)
+	earlier := newHighest(g.calls, observedRevision)
 	for _, name := range g.names {
 		wrote := g.writes[name]
-		if wrote.shown == nil {
+		if wrote.observedBy == nil {
 			continue
 		}
 		before := earlier.before(wrote.first())
-		if before != nil && wrote.revision <= shownRevision(before) {
-			g.checker.report(RuleOrder, []*Call{before, wrote.first(), wrote.shown},
-				"revision %d of group %s is not above %d, which was shown before the put was sent", wrote.revision, g.name, shownRevision(before))
+		if before != nil && wrote.revision <= observedRevision(before) {
+			g.checker.report(RuleOrder, []*Call{before, wrote.first(), wrote.observedBy},
+				"revision %d of group %s is not above %d, which was shown before the put was sent", wrote.revision, g.name, observedRevision(before))
 		}
 	}
 }
@@ -162,19 +162,19 @@
 func (g *group) checkConditions() {
 	for _, name := range g.names {
 		wrote := g.writes[name]
-		if wrote.shown == nil || wrote.first().Expected == nil {
+		if wrote.observedBy == nil || wrote.first().Expected == nil {
 			continue
 		}
 		expected := *wrote.first().Expected
 		if replaced := g.byRevision[expected]; replaced != nil && replaced.key != wrote.key {
-			g.checker.report(RuleOrder, []*Call{replaced.shown, wrote.first(), wrote.shown},
+			g.checker.report(RuleOrder, []*Call{replaced.observedBy, wrote.first(), wrote.observedBy},
 				"a put to %s succeeded over revision %d, which is of %s", wrote.key, expected, replaced.key)
 		}
 		for _, otherName := range g.names {
 			other := g.writes[otherName]
-			isBetween := other.shown != nil && other.key == wrote.key && expected < other.revision && other.revision < wrote.revision
+			isBetween := other.observedBy != nil && other.key == wrote.key && expected < other.revision && other.revision < wrote.revision
 			if isBetween {
-				g.checker.report(RuleOrder, []*Call{other.shown, wrote.first(), wrote.shown},
+				g.checker.report(RuleOrder, []*Call{other.observedBy, wrote.first(), wrote.observedBy},
 					"a put to %s over revision %d succeeded as %d over %d", wrote.key, expected, wrote.revision, other.revision)
 				break
 			}
@@ -192,15 +192,15 @@
 	}
 	keys, parts := partition(ofKeys, nameOf)
 	for _, key := range keys {
-		earlier := newHighest(parts[key], shownRevision)
+		earlier := newHighest(parts[key], observedRevision)
 		for _, call := range parts[key] {
 			isAnswer := call.Outcome == Mismatch || call.Kind == Read && (call.Outcome == OK || call.Outcome == NotFound)
 			if !isAnswer {
 				continue
 			}
-			if before := earlier.before(call); before != nil && shownRevision(call) < shownRevision(before) {
+			if before := earlier.before(call); before != nil && observedRevision(call) < observedRevision(before) {
 				g.checker.report(ruleOf(call, RuleStale), []*Call{before, call}, "revision %d of %s is below %d, which was shown before the call was sent",
-					shownRevision(call), key, shownRevision(before))
+					observedRevision(call), key, observedRevision(before))
 			}
 			if call.Outcome == Mismatch {
 				g.checkMismatch(call)
@@ -220,7 +220,7 @@
 	named := g.byRevision[call.Revision]
 	switch {
 	case named != nil && named.key != call.Name:
-		g.checker.report(RuleMixed, []*Call{named.shown, call}, "revision %d is not of %s but of %s", call.Revision, call.Name, named.key)
+		g.checker.report(RuleMixed, []*Call{named.observedBy, call}, "revision %d is not of %s but of %s", call.Revision, call.Name, named.key)
 	case named == nil && !g.mayHaveRevision(call.Name):
 		g.checker.report(RuleMixed, []*Call{call}, "no put gave %s the revision %d", call.Name, call.Revision)
 	}
@@ -230,7 +230,7 @@
 func (g *group) mayHaveRevision(key string) bool {
 	for _, name := range g.names {
 		wrote := g.writes[name]
-		if wrote.key == key && wrote.shown == nil && wrote.rejection() == nil {
+		if wrote.key == key && wrote.observedBy == nil && wrote.rejection() == nil {
 			return true
 		}
 	}
--- a/internal/testkit/history/locks.go
+++ b/internal/testkit/history/locks.go
@@ -11,26 +11,26 @@
 func (c *checker) checkLocks(calls []*Call) {
 	names, parts := partition(calls, nameOf)
 	for _, name := range names {
-		c.checkHolds(name, parts[name])
+		c.checkMutualExclusion(name, parts[name])
 		c.checkFences(name, parts[name])
 	}
 }
 
-// hold is a time during which a caller takes itself for the holder.
-type hold struct {
+// holdInterval is a time during which a caller takes itself for the holder.
+type holdInterval struct {
 	caller   string
 	from, to time.Duration
 	calls    []*Call // that began it, and that set its end
 }
 
-// checkHolds finds holds of two callers that overlap.
-func (c *checker) checkHolds(name string, calls []*Call) {
+// checkMutualExclusion finds holds of two callers that overlap.
+func (c *checker) checkMutualExclusion(name string, calls []*Call) {
 	callers, parts := partition(calls, func(call *Call) string { return call.Caller })
-	var holds []hold
+	var holds []holdInterval
 	for _, caller := range callers {
-		holds = append(holds, holdsOf(caller, parts[caller])...)
+		holds = append(holds, holdIntervalsOf(caller, parts[caller])...)
 	}
-	slices.SortStableFunc(holds, func(a, b hold) int { return cmp.Compare(a.from, b.from) })
+	slices.SortStableFunc(holds, func(a, b holdInterval) int { return cmp.Compare(a.from, b.from) })
 	for index, first := range holds {
 		for _, second := range holds[index+1:] {
 			if second.from >= first.to {
@@ -44,11 +44,11 @@
 	}
 }
 
-// holdsOf are the holds of one caller: from an answer, until as long as it asked for after it sent the call that succeeded
-// last, until it sends the release, or until it learns that it has lost the lock.
-func holdsOf(caller string, calls []*Call) []hold {
-	var holds []hold
-	var current *hold
+// holdIntervalsOf are the holds of one caller: from an answer, until as long as it asked for after it sent the call that
+// succeeded last, until it sends the release, or until it learns that it has lost the lock.
+func holdIntervalsOf(caller string, calls []*Call) []holdInterval {
+	var holds []holdInterval
+	var current *holdInterval
 	end := func(at time.Duration) {
 		if current == nil {
 			return
@@ -76,7 +76,7 @@
 			current.to = until
 			current.calls = []*Call{current.calls[0], call}
 		case call.Kind == Acquire:
-			current = &hold{caller: caller, from: moment.at, to: until, calls: []*Call{call}}
+			current = &holdInterval{caller: caller, from: moment.at, to: until, calls: []*Call{call}}
 		}
 	}
 	if current != nil {
--- a/internal/testkit/history/verdict.go
+++ b/internal/testkit/history/verdict.go
@@ -140,13 +140,13 @@
 		if !call.Final || call.Kind == Renew || call.Kind == Release {
 			continue
 		}
-		asked1 := object{call.Kind, call.Name}
-		if asked[asked1] == nil {
-			objects = append(objects, asked1)
+		current := object{call.Kind, call.Name}
+		if asked[current] == nil {
+			objects = append(objects, current)
 		}
-		asked[asked1] = call
+		asked[current] = call
 		isAnswered := call.Outcome == OK || call.Outcome == NotFound || call.Outcome == Compacted
-		answered[asked1] = answered[asked1] || isAnswered
+		answered[current] = answered[current] || isAnswered
 	}
 	for _, wanted := range objects {
 		if !answered[wanted] {
--- a/internal/testkit/history/watches.go
+++ b/internal/testkit/history/watches.go
@@ -9,7 +9,7 @@
 // out of date, and that a watch can resume.
 func (g *group) checkWatches() {
 	revisions := slices.Sorted(maps.Keys(g.byRevision))
-	earlier := newHighest(g.calls, shownRevision)
+	earlier := newHighest(g.calls, observedRevision)
 	for _, call := range g.calls {
 		switch {
 		case call.Kind != Watch:
@@ -17,9 +17,9 @@
 			g.checkCompacted(call)
 		case call.Outcome != OK:
 		case call.After == 0:
-			if before := earlier.before(call); before != nil && call.Revision < shownRevision(before) {
+			if before := earlier.before(call); before != nil && call.Revision < observedRevision(before) {
 				g.checker.report(ruleOf(call, RuleStale), []*Call{before, call}, "revision %d of group %s is below %d, which was shown before the call was sent",
-					call.Revision, g.name, shownRevision(before))
+					call.Revision, g.name, observedRevision(before))
 			}
 		default:
 			g.checkRise(call)
@@ -50,9 +50,9 @@
 		if revision > call.Revision {
 			return
 		}
-		isTold := slices.ContainsFunc(call.Events, func(event Event) bool { return event.Revision == revision })
-		if !isTold {
-			g.checker.report(ruleOf(call, RuleOrder), []*Call{g.byRevision[revision].shown, call}, "a watch of %s after %d up to %d skips %d",
+		isReported := slices.ContainsFunc(call.Events, func(event Event) bool { return event.Revision == revision })
+		if !isReported {
+			g.checker.report(ruleOf(call, RuleOrder), []*Call{g.byRevision[revision].observedBy, call}, "a watch of %s after %d up to %d skips %d",
 				g.name, call.After, call.Revision, revision)
 			return
 		}
