--- a/internal/testkit/history/groups.go
+++ b/internal/testkit/history/groups.go
@@ -1,21 +1,22 @@
 package history
 
-// A put may be sent several times; together these are one write, which has its effect once at most.
+// write is one logical write. Its put may be sent several times; all attempts together take effect at most once.
 type write struct {
 	key, value string
 	attempts   []*Call
-	// shown is what told of the write; nil: nothing did.
+	// observedBy is the earliest answer that showed the write; nil: no answer did.
 	observedBy *Call
 	revision   uint64
 }
 
 type writeName struct{ key, value string }
 
-// sent is the first attempt.
+// first returns the first attempt.
 func (w *write) first() *Call { return w.attempts[0] }
 
-// rejection is the answer that says that the write has not happened and never will; nil: there is none. Another attempt
-// without a clear answer may have succeeded where one was refused, but not where one found another revision.
+// rejection returns the answer that shows that the write has not taken effect and never will; nil: there is none. If one
+// attempt was refused, another one without a clear answer may still have succeeded; if one attempt found another revision,
+// none can have succeeded.
 func (w *write) rejection() *Call {
 	var refused *Call
 	isOpen := false
@@ -45,7 +46,7 @@
 	byRevision map[uint64]*write
 }
 
-// checkGroups judges puts, reads and watches.
+// checkGroups checks the puts, reads and watches of each group of keys.
 func (c *checker) checkGroups(calls []*Call) {
 	names, parts := partition(calls, func(call *Call) string {
 		if call.Kind == Watch {
@@ -88,8 +89,8 @@
 	}
 }
 
-// collectObserved takes what answers tell of writes: each value was put to that key, before, and has one revision, which is no
-// other one's.
+// collectObserved records which writes the answers show. It requires that each observed value was put to its key before it
+// was observed, and that it has a single revision that no other write has.
 func (g *group) collectObserved() {
 	for _, call := range g.calls {
 		switch {
@@ -132,7 +133,7 @@
 	g.byRevision[event.Revision] = observed
 }
 
-// observedRevision is the highest revision of the group that an answer shows.
+// observedRevision returns the highest revision of the group that an answer shows; 0: none.
 func observedRevision(call *Call) uint64 {
 	switch call.Outcome {
 	case OK, Mismatch:
@@ -142,7 +143,7 @@
 	}
 }
 
-// checkWrites requires that the revision of a write is above all that were shown before it was sent first.
+// checkWrites requires that the revision of a write is above all revisions that were observed before its first attempt.
 func (g *group) checkWrites() {
 	earlier := newHighest(g.calls, observedRevision)
 	for _, name := range g.names {
@@ -158,7 +159,7 @@
 	}
 }
 
-// checkConditions requires that a conditional put that succeeded followed the revision that it expected.
+// checkConditions requires that a successful conditional put directly followed the expected revision of its key.
 func (g *group) checkConditions() {
 	for _, name := range g.names {
 		wrote := g.writes[name]
@@ -182,7 +183,8 @@
 	}
 }
 
-// checkReads requires that an answer about a key is not older than what was shown of it before the call was sent.
+// checkReads requires that an answer about a key is not older than any revision of the key that was observed before the call
+// was sent.
 func (g *group) checkReads() {
 	ofKeys := make([]*Call, 0, len(g.calls))
 	for _, call := range g.calls {
@@ -209,7 +211,7 @@
 	}
 }
 
-// checkMismatch requires that a rejected condition names a revision of the key, and another one than was expected.
+// checkMismatch requires that the rejection of a conditional put names a revision of the key other than the expected one.
 func (g *group) checkMismatch(call *Call) {
 	if call.Expected != nil && *call.Expected == call.Revision {
 		g.checker.report(RuleRefused, []*Call{call}, "a put to %s is rejected for the revision that it expected", call.Name)
@@ -226,7 +228,7 @@
 	}
 }
 
-// mayHaveRevision reports whether there is a put to a key whose revision nobody was shown, if it has one.
+// mayHaveRevision reports whether there is a put to a key that may have taken effect with a revision that no answer showed.
 func (g *group) mayHaveRevision(key string) bool {
 	for _, name := range g.names {
 		wrote := g.writes[name]
--- a/internal/testkit/history/highest.go
+++ b/internal/testkit/history/highest.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// highest finds what was the highest that calls had returned by some time.
+// highest finds the highest value that calls had returned by a given time.
 type highest struct {
-	answered []*Call // by the time of the answer
-	best     []*Call // of the calls up to each one
+	answered []*Call // calls with an answer, ordered by the time of the answer
+	best     []*Call // for each index, the call with the highest value in answered up to that index
 }
 
 func newHighest(calls []*Call, returned func(*Call) uint64) *highest {
@@ -30,7 +30,8 @@
 	return found
 }
 
-// before is the call that returned the highest of those that were answered before another one was sent; nil: none was.
+// before returns the call with the highest value among those that were answered before the given call was sent; nil: no call
+// was.
 func (h *highest) before(call *Call) *Call {
 	count, _ := slices.BinarySearchFunc(h.answered, call.Sent, func(answered *Call, sent time.Duration) int {
 		return cmp.Compare(answered.Answered, sent)
--- a/internal/testkit/history/history.go
+++ b/internal/testkit/history/history.go
@@ -1,9 +1,9 @@
-// Package history judges the calls that applications made to the coordination service by their history alone: it knows
-// nothing of the code that answered them. Check takes a history and returns the violations of the rules, each with the
-// smallest sub-history that shows it.
+// Package history checks the consistency of the coordination service from the recorded calls of its clients alone, without
+// any knowledge of the code that answered them. Check takes a history and returns the violations of the rules, each with
+// the smallest sub-history that shows it.
 //
-// Times are of one steady clock. A call without a clear answer may have taken effect at any later time, or never; a call that
-// was refused has not, and never will.
+// All times are read from one monotonic clock. A call without a clear answer may have taken effect at any later time, or
+// never; a call that was refused has not taken effect and never will.
 package history
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Kind is what a call asks for.
+// Kind is the operation that a call requests.
 type Kind string
 
 // The kinds of calls.
@@ -26,53 +26,53 @@
 	Watch   Kind = "watch"
 )
 
-// Outcome is what a caller learnt of its call.
+// Outcome is the result of a call as its caller saw it.
 type Outcome string
 
 // The outcomes of calls.
 const (
 	Unclear   Outcome = ""          // no answer, or one that leaves open whether the call took effect
 	OK        Outcome = "ok"        // 200
-	Held      Outcome = "held"      // 409
-	Mismatch  Outcome = "mismatch"  // 412
-	Refused   Outcome = "refused"   // 429 or 503
+	Held      Outcome = "held"      // 409: another caller holds the lock
+	Mismatch  Outcome = "mismatch"  // 412: the key has another revision than was expected
+	Refused   Outcome = "refused"   // 429 or 503: not executed
 	NotFound  Outcome = "not found" // 404
-	Compacted Outcome = "compacted" // 410
+	Compacted Outcome = "compacted" // 410: the revision to resume from is no longer retained
 )
 
-// Event is a put that a watch tells of.
+// Event is a put that a watch reports.
 type Event struct {
 	Key      string `json:"key"`
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
 }
 
-// Call is one call of one caller.
+// Call is one call of one caller, with its answer.
 type Call struct {
 	Kind    Kind          `json:"kind"`
-	Name    string        `json:"name"`   // of the lock, the counter, the key, or the group of a watch
-	Caller  string        `json:"caller"` // of locks: the holder
+	Name    string        `json:"name"`   // name of the lock, counter or key; of a watch, its group
+	Caller  string        `json:"caller"` // client that made the call; in calls to locks, the holder
 	Sent    time.Duration `json:"sent"`
 	Outcome Outcome       `json:"outcome,omitempty"`
-	// Answered is when the answer came; meaningless for an Unclear one.
+	// Answered is the time at which the answer arrived; it is meaningless if Outcome is Unclear.
 	Answered time.Duration `json:"answered,omitempty"`
-	// Final: the call is one of those at the end, by which a caller finds out what was kept.
+	// Final marks a call made at the end of a run to find out which state survived.
 	Final bool `json:"final,omitempty"`
 
-	Hold  time.Duration `json:"hold,omitempty"`  // of Acquire and Renew
-	Fence uint64        `json:"fence,omitempty"` // that Acquire returned, that Renew and Release named
+	Hold  time.Duration `json:"hold,omitempty"`  // requested lock duration of Acquire and Renew
+	Fence uint64        `json:"fence,omitempty"` // fencing token that Acquire returned, or that Renew and Release presented
 
-	Number uint64 `json:"number,omitempty"` // that was returned
+	Number uint64 `json:"number,omitempty"` // number that the counter returned
 
-	Value    string  `json:"value,omitempty"`    // that Put named, that Read returned
-	Expected *uint64 `json:"expected,omitempty"` // of Put
-	Revision uint64  `json:"revision,omitempty"` // that was returned; of a Mismatch, that of the key
+	Value    string  `json:"value,omitempty"`    // value that Put wrote or that Read returned
+	Expected *uint64 `json:"expected,omitempty"` // revision that a conditional Put expects; nil: unconditional
+	Revision uint64  `json:"revision,omitempty"` // returned revision; of a Mismatch, the current revision of the key
 
-	After  uint64  `json:"after,omitempty"` // of Watch
+	After  uint64  `json:"after,omitempty"` // revision after which Watch starts; 0: the current one
 	Events []Event `json:"events,omitempty"`
 }
 
-// String describes a call in a line.
+// String describes a call in one line.
 func (c Call) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%v %s %s %s", c.Sent, c.Caller, c.Kind, c.Name)
@@ -110,12 +110,12 @@
 	return text.String()
 }
 
-// isBefore reports whether a call was answered before another one was sent.
+// isBefore reports whether a call was answered before the other one was sent.
 func (c *Call) isBefore(other *Call) bool {
 	return c.Outcome != Unclear && c.Answered < other.Sent
 }
 
-// groupOf is the group of a key: its name up to the first dot, dot included; the whole name if it has none.
+// groupOf returns the group of a key: its name up to the first dot, dot included; the whole name if it has none.
 func groupOf(key string) string {
 	group, _, found := strings.Cut(key, ".")
 	if !found {
--- a/internal/testkit/history/history_test.go
+++ b/internal/testkit/history/history_test.go
@@ -22,7 +22,7 @@
 	return answered(Call{Kind: Acquire, Name: "l", Caller: caller, Fence: fence, Hold: at(hold)}, OK, sent, received)
 }
 
-// renewed is a renewal by a, of fence 1.
+// renewed returns a renewal by caller a with fencing token 1.
 func renewed(sent, received, hold float64) Call {
 	return answered(Call{Kind: Renew, Name: "l", Caller: "a", Fence: 1, Hold: at(hold)}, OK, sent, received)
 }
@@ -68,8 +68,8 @@
 
 var cases = map[string]struct {
 	calls []Call
-	rule  Rule // empty: the history keeps all rules
-	// evidence is how many calls show the fault.
+	rule  Rule // expected rule of the smallest violation; empty: the history satisfies all rules
+	// evidence is the expected number of calls in the smallest violation.
 	evidence int
 }{
 	"holders that follow each other": {calls: []Call{
--- a/internal/testkit/history/locks.go
+++ b/internal/testkit/history/locks.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// checkLocks requires that no two callers take themselves for the holder of a lock at one moment, and that fences rise from
-// holder to holder.
+// checkLocks requires mutual exclusion (no two callers consider themselves the holder of a lock at the same time) and that
+// fencing tokens increase from holder to holder.
 func (c *checker) checkLocks(calls []*Call) {
 	names, parts := partition(calls, nameOf)
 	for _, name := range names {
@@ -16,14 +16,14 @@
 	}
 }
 
-// holdInterval is a time during which a caller takes itself for the holder.
+// holdInterval is an interval during which a caller considers itself the holder of a lock.
 type holdInterval struct {
 	caller   string
 	from, to time.Duration
-	calls    []*Call // that began it, and that set its end
+	calls    []*Call // the call that began the interval, and the last one that set its end, if that is another
 }
 
-// checkMutualExclusion finds holds of two callers that overlap.
+// checkMutualExclusion reports overlapping hold intervals of different callers.
 func (c *checker) checkMutualExclusion(name string, calls []*Call) {
 	callers, parts := partition(calls, func(call *Call) string { return call.Caller })
 	var holds []holdInterval
@@ -44,8 +44,9 @@
 	}
 }
 
-// holdIntervalsOf are the holds of one caller: from an answer, until as long as it asked for after it sent the call that
-// succeeded last, until it sends the release, or until it learns that it has lost the lock.
+// holdIntervalsOf returns the hold intervals of one caller. An interval starts when a successful acquisition is answered. It
+// ends when the duration requested by the last successful call has passed since that call was sent, when the caller sends
+// the release, or when the caller learns that it has lost the lock, whichever comes first.
 func holdIntervalsOf(caller string, calls []*Call) []holdInterval {
 	var holds []holdInterval
 	var current *holdInterval
@@ -85,14 +86,14 @@
 	return holds
 }
 
-// moment is when a call is sent, or answered.
+// moment is the sending or the answer of a call.
 type moment struct {
 	at        time.Duration
 	isSending bool
 	call      *Call
 }
 
-// momentsOf are the moments of calls in order.
+// momentsOf returns the sendings and answers of calls in order of time.
 func momentsOf(calls []*Call) []moment {
 	var moments []moment
 	for _, call := range calls {
@@ -105,8 +106,9 @@
 	return moments
 }
 
-// checkFences requires that the fence of a holder is its own, and above all that others obtained before its call was sent;
-// and that a renewal by a fence fails once it was sent after another caller had a higher one.
+// checkFences requires that the fencing token of a holder is unique to it and higher than all tokens that other callers
+// obtained before its call was sent, and that a renewal fails if it was sent after another caller had obtained a higher
+// token.
 func (c *checker) checkFences(name string, calls []*Call) {
 	acquired := make(map[uint64]*Call)
 	var grants []*Call
@@ -135,7 +137,7 @@
 	}
 }
 
-// mayFollow reports whether a fence may be granted after an earlier acquisition.
+// mayFollow reports whether the fencing token of a call may be granted after an earlier acquisition.
 func mayFollow(call, before *Call) bool {
 	if call.Caller == before.Caller {
 		return call.Kind == Renew || call.Fence >= before.Fence
--- a/internal/testkit/history/numbers.go
+++ b/internal/testkit/history/numbers.go
@@ -1,7 +1,7 @@
 package history
 
-// checkNumbers requires that no number of a name is given twice, and that each is above all that were given before its
-// call was sent.
+// checkNumbers requires that a counter returns no number twice, and that each number is above all numbers that the counter
+// returned before the call was sent.
 func (c *checker) checkNumbers(calls []*Call) {
 	names, parts := partition(calls, nameOf)
 	for _, name := range names {
@@ -23,7 +23,7 @@
 
 func numberOf(call *Call) uint64 { return call.Number }
 
-// requireRise requires that each of later returns more than whichever of earlier was answered before it was sent.
+// requireRise requires that each call of later returns more than every call of earlier that was answered before it was sent.
 func (c *checker) requireRise(earlier, later []*Call, returned func(*Call) uint64, rule Rule, what string) {
 	highest := newHighest(earlier, returned)
 	for _, call := range later {
--- a/internal/testkit/history/verdict.go
+++ b/internal/testkit/history/verdict.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// Rule names what the answers of the service must keep.
+// Rule is a consistency rule that the answers of the service must satisfy.
 type Rule string
 
 // The rules.
 const (
-	RuleOne     Rule = "ONE"     // one holder of a lock at a time; fences rise
-	RuleOrder   Rule = "ORDER"   // numbers and revisions rise; watches skip nothing
-	RuleStale   Rule = "STALE"   // an answer is not older than what was shown before the call was sent
-	RuleMixed   Rule = "MIXED"   // what is shown was put to that key, under one revision
-	RuleRefused Rule = "REFUSED" // what was refused has no effect
-	RuleLost    Rule = "LOST"    // what was acknowledged is kept
+	RuleOne     Rule = "ONE"     // a lock has one holder at a time; fencing tokens increase
+	RuleOrder   Rule = "ORDER"   // numbers and revisions increase; watches skip no put
+	RuleStale   Rule = "STALE"   // an answer is not older than any state observed before the call was sent
+	RuleMixed   Rule = "MIXED"   // each observed value was put to its key, and has one revision
+	RuleRefused Rule = "REFUSED" // a refused call has no effect
+	RuleLost    Rule = "LOST"    // acknowledged state is not lost
 )
 
-// Options are what the rules depend on besides the history.
+// Options are the parameters of the rules.
 type Options struct {
-	// Retention is for how long a watch may resume from a revision that it was given.
+	// Retention is the time for which a watch can resume from a revision that it was given.
 	Retention time.Duration
 }
 
-// Violation is a rule that a history breaks.
+// Violation is a violation of a rule by a history.
 type Violation struct {
 	Rule Rule
 	What string
-	// Calls is the smallest sub-history that shows it, by the time of sending. Where the fault is that something is
-	// missing from the whole history, What says so.
+	// Calls is the smallest sub-history that shows the violation, ordered by the time of sending. If the violation is that
+	// something is missing from the whole history, What says so.
 	Calls []Call
 }
 
-// String describes a violation, with its calls.
+// String describes the violation, followed by its calls.
 func (v Violation) String() string {
 	lines := []string{fmt.Sprintf("%s: %s", v.Rule, v.What)}
 	for _, call := range v.Calls {
@@ -45,15 +45,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// Verdict is what the rules say of a history.
+// Verdict is the result of checking a history.
 type Verdict struct {
 	Violations []Violation
 }
 
-// Passed reports whether the history keeps all rules.
+// Passed reports whether the history satisfies all rules.
 func (v Verdict) Passed() bool { return len(v.Violations) == 0 }
 
-// Smallest is a violation that the fewest calls show; nil if there is none.
+// Smallest returns a violation with the fewest calls; nil if there is none.
 func (v Verdict) Smallest() *Violation {
 	if v.Passed() {
 		return nil
@@ -62,7 +62,7 @@
 	return &smallest
 }
 
-// String describes the smallest violation and counts them all.
+// String describes the smallest violation and gives the number of all violations.
 func (v Verdict) String() string {
 	if v.Passed() {
 		return "passed"
@@ -70,7 +70,7 @@
 	return fmt.Sprintf("%d violations, for example\n%v", len(v.Violations), *v.Smallest())
 }
 
-// Check judges a history. The calls may be in any order.
+// Check checks a history against all rules. The calls may be in any order.
 func Check(calls []Call, options Options) Verdict {
 	checker := &checker{options: options}
 	checker.checkLocks(selectKinds(calls, Acquire, Renew, Release))
@@ -85,7 +85,7 @@
 	violations []Violation
 }
 
-// report adds a violation.
+// report adds a violation; calls that print the same are listed once.
 func (c *checker) report(rule Rule, calls []*Call, format string, arguments ...any) {
 	shown := make([]Call, 0, len(calls))
 	for _, call := range calls {
@@ -97,7 +97,7 @@
 	c.violations = append(c.violations, Violation{Rule: rule, What: fmt.Sprintf(format, arguments...), Calls: shown})
 }
 
-// selectKinds returns the calls of some kinds, by the time of sending.
+// selectKinds returns the calls of the given kinds, ordered by the time of sending.
 func selectKinds(calls []Call, kinds ...Kind) []*Call {
 	var selected []*Call
 	for index := range calls {
@@ -109,7 +109,7 @@
 	return selected
 }
 
-// partition divides calls by a property, and returns its values in order.
+// partition groups calls by a property, and returns the property's values in order along with the groups.
 func partition(calls []*Call, property func(*Call) string) ([]string, map[string][]*Call) {
 	parts := make(map[string][]*Call)
 	var names []string
@@ -126,7 +126,7 @@
 
 func nameOf(call *Call) string { return call.Name }
 
-// checkFinal requires that each object that is asked for at the end answers.
+// checkFinal requires that each object that the final calls ask for is answered at least once.
 func (c *checker) checkFinal(calls []Call) {
 	type object struct {
 		kind Kind
@@ -155,7 +155,8 @@
 	}
 }
 
-// ruleOf is the rule that an answer breaks which lags behind an earlier one.
+// ruleOf returns the rule that is violated by an answer that lags behind an earlier one: RuleLost for a final call, otherwise
+// the given rule.
 func ruleOf(call *Call, rule Rule) Rule {
 	if call.Final {
 		return RuleLost
--- a/internal/testkit/history/watches.go
+++ b/internal/testkit/history/watches.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// checkWatches requires that the events of a watch rise and skip no put, that a watch without a revision returns none that is
-// out of date, and that a watch can resume.
+// checkWatches requires that the events of a watch have increasing revisions and skip no put, that a watch without a start
+// revision does not return an outdated one, and that a watch can resume.
 func (g *group) checkWatches() {
 	revisions := slices.Sorted(maps.Keys(g.byRevision))
 	earlier := newHighest(g.calls, observedRevision)
@@ -43,7 +43,7 @@
 	}
 }
 
-// checkComplete requires that a watch tells of each put between its revisions.
+// checkComplete requires that a watch reports each observed put between its start revision and its returned revision.
 func (g *group) checkComplete(call *Call, revisions []uint64) {
 	first, _ := slices.BinarySearch(revisions, call.After+1)
 	for _, revision := range revisions[first:] {
@@ -59,7 +59,8 @@
 	}
 }
 
-// checkCompacted requires that a watch is not told too early that its revision is not kept any more.
+// checkCompacted requires that a watch can resume from a revision until the retention time has passed since the answer that
+// returned it.
 func (g *group) checkCompacted(call *Call) {
 	for _, given := range g.calls {
 		isGiven := given.Kind == Watch && given.Outcome == OK && given.Caller == call.Caller && given.Revision == call.After
