--- a/bench/cost/main.go
+++ b/bench/cost/main.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	v := checker.Judge(r.History.Entries(), processfleet.Classes, 0)
+	v := checker.Check(r.History.Entries(), processfleet.Classes, 0)
 	fmt.Printf("%s: %d requests, %d served, CPU %.1f us a request; idle: %d kB resident, %d descriptors, %d threads\n", opts.Binary, v.Requests, v.Served,
 		float64((after.CPU-idle.CPU).Microseconds())/float64(v.Requests), idle.ResidentKB, idle.Descriptors, idle.Threads)
 	return nil
--- a/cmd/fieldlab/chaos.go
+++ b/cmd/fieldlab/chaos.go
@@ -67,7 +67,7 @@
 	if err := c.writeHistory(fleet); err != nil {
 		return err
 	}
-	verdict := checker.Judge(fleet.History.Entries(), processfleet.Classes, fleet.Bound())
+	verdict := checker.Check(fleet.History.Entries(), processfleet.Classes, fleet.Bound())
 	printVerdict(verdict, hits)
 	over := printLimit(plan, fleet.History.Entries())
 	fmt.Println(verdict)
--- a/internal/testkit/checker/checker.go
+++ b/internal/testkit/checker/checker.go
@@ -19,17 +19,17 @@
 
 // The kinds of entries.
 const (
-	Ask    Kind = "ask"    // a client sends a try of a request to a sidecar
-	Answer Kind = "answer" // what came of that try; Status 0: nothing came
-	Over   Kind = "over"   // the client gives the request up, or has its final answer; Status is that
-	Ran    Kind = "ran"    // an execute node began its work
-	Repeat Kind = "repeat" // an execute node knew the key and did no work
-	Strike Kind = "strike" // the injector begins or ends a fault
-	Member Kind = "member" // Sidecar believes State of Peer
-	Mode   Kind = "mode"   // Sidecar is in mode State
-	View   Kind = "view"   // Sidecar has decided, or adopted, by State, view ID with content Key
-	Ended  Kind = "ended"  // a process ended; Err is set if nobody asked for that
-	Settle Kind = "settle" // how long the fleet took to be one again; Err: it did not
+	Ask         Kind = "ask"    // a client sends a try of a request to a sidecar
+	Answer      Kind = "answer" // what came of that try; Status 0: nothing came
+	Over        Kind = "over"   // the client gives the request up, or has its final answer; Status is that
+	Ran         Kind = "ran"    // an execute node began its work
+	Duplicate   Kind = "repeat" // an execute node knew the key and did no work
+	Strike      Kind = "strike" // the injector begins or ends a fault
+	Member      Kind = "member" // Sidecar believes State of Peer
+	Mode        Kind = "mode"   // Sidecar is in mode State
+	View        Kind = "view"   // Sidecar has decided, or adopted, by State, view ID with content Key
+	Ended       Kind = "ended"  // a process ended; Err is set if nobody asked for that
+	Convergence Kind = "settle" // how long the fleet took to be one again; Err: it did not
 )
 
 // Entry is a line of a history.
@@ -137,8 +137,8 @@
 // slack is how much later than it happened a thing may stand in a history: processes share a busy machine.
 const slack = time.Second
 
-// Judge looks at a history. bound is how long a view may be held after the next one was decided; 0: that is not judged.
-func Judge(entries []Entry, classes []Class, bound time.Duration) Verdict {
+// Check looks at a history. bound is how long a view may be held after the next one was decided; 0: that is not judged.
+func Check(entries []Entry, classes []Class, bound time.Duration) Verdict {
 	j := judge{
 		verdict:  Verdict{Rules: judgeViews(entries, bound)},
 		single:   map[string]bool{},
@@ -206,7 +206,7 @@
 		if e.Key != "" {
 			j.keys[e.Key]++
 		}
-	case Repeat:
+	case Duplicate:
 		v.Repeats++
 	case Strike:
 		v.Strikes++
@@ -215,7 +215,7 @@
 		if e.Err != "" {
 			v.Rules = append(v.Rules, fmt.Sprintf("%v: process of %s ended by itself: %s", e.At, e.Sidecar, e.Err))
 		}
-	case Settle:
+	case Convergence:
 		if e.Err != "" {
 			v.Rules = append(v.Rules, fmt.Sprintf("%v: not one fleet again: %s", e.At, e.Err))
 		}
--- a/internal/testkit/checker/checker_test.go
+++ b/internal/testkit/checker/checker_test.go
@@ -31,9 +31,9 @@
 		"a safe one may run again":       {entries: []Entry{ask("1", "look"), {Kind: Ran, ID: "1", Class: "look"}, {Kind: Ran, ID: "1", Class: "look"}, over("1", 200)}},
 		"a single-shot one may not":      {entries: []Entry{ask("1", "order"), {Kind: Ran, ID: "1", Class: "order"}, {Kind: Ran, ID: "1", Class: "order"}, over("1", 200)}, twice: 1},
 		"a keyed one whose repeat works": {entries: []Entry{ask("1", "pay"), {Kind: Ran, ID: "1", Class: "pay", Key: "k"}, {Kind: Ran, ID: "1", Class: "pay", Key: "k"}, over("1", 200)}, twice: 1},
-		"a repeat that was dropped":      {entries: []Entry{ask("1", "pay"), {Kind: Ran, ID: "1", Class: "pay", Key: "k"}, {Kind: Repeat, ID: "1", Class: "pay", Key: "k"}, over("1", 200)}},
+		"a repeat that was dropped":      {entries: []Entry{ask("1", "pay"), {Kind: Ran, ID: "1", Class: "pay", Key: "k"}, {Kind: Duplicate, ID: "1", Class: "pay", Key: "k"}, over("1", 200)}},
 		"a process that crashed":         {entries: []Entry{{Kind: Ended, Sidecar: "s1", Err: "panic"}}, rules: 1, contains: "by itself"},
-		"a fleet that stays apart":       {entries: []Entry{{Kind: Settle, Err: "s1 alone"}}, rules: 1, contains: "not one fleet"},
+		"a fleet that stays apart":       {entries: []Entry{{Kind: Convergence, Err: "s1 alone"}}, rules: 1, contains: "not one fleet"},
 		"two views of one number":        {entries: []Entry{view(1, "s1", "1.1", "x", "decided"), view(2, "s2", "1.1", "y", "decided")}, rules: 1, contains: "another view"},
 		"a view held past the bound": {entries: []Entry{view(1, "s1", "1.1", "x", "decided"), view(2, "s2", "1.1", "x", "adopted"), mode(3, "s2", "together"),
 			view(4, "s1", "1.2", "y", "decided"), mode(8*second, "s1", "together")}, rules: 1, contains: "s2 holds view 1.1"},
@@ -44,7 +44,7 @@
 			{At: 9 * second, Kind: Strike, Sidecar: "s2", State: "stop ends"}, mode(9*second+1, "s2", "cut off")}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v := Judge(c.entries, classes, 2*second)
+			v := Check(c.entries, classes, 2*second)
 			if len(v.Rules) != c.rules || v.Unanswered != c.unanswered || v.RanTwice != c.twice || !strings.Contains(strings.Join(v.Rules, "\n"), c.contains) {
 				t.Errorf("%v: %q", v, v.Rules)
 			}
--- a/internal/testkit/processfleet/fleet.go
+++ b/internal/testkit/processfleet/fleet.go
@@ -201,7 +201,7 @@
 	r.mu.Unlock()
 	kind := checker.Ran
 	if repeat {
-		kind = checker.Repeat
+		kind = checker.Duplicate
 	}
 	r.History.Add(checker.Entry{Kind: kind, ID: id, Key: key, Class: class, Node: node})
 	return repeat
--- a/internal/testkit/processfleet/fleet_test.go
+++ b/internal/testkit/processfleet/fleet_test.go
@@ -360,7 +360,7 @@
 	if err := r.Play(context.Background(), plan, &trace); err != nil {
 		t.Fatal(err)
 	}
-	v := checker.Judge(r.History.Entries(), Classes, r.Bound())
+	v := checker.Check(r.History.Entries(), Classes, r.Bound())
 	t.Logf("%+v", v)
 	if len(v.Rules) > 0 || v.Unanswered > 0 || v.Requests < 100 || v.Hit == 0 || r.Hits().Lost == 0 {
 		t.Errorf("%v, hits %+v", v, r.Hits())
--- a/internal/testkit/processfleet/quota_test.go
+++ b/internal/testkit/processfleet/quota_test.go
@@ -271,7 +271,7 @@
 	}
 	lines, err := r.Sidecars[0].Manage("QUOTAS")
 	t.Log(lines, err)
-	if v := checker.Judge(r.History.Entries(), Classes, r.Bound()); v.SingleTwice+v.KeyedTwice > 0 {
+	if v := checker.Check(r.History.Entries(), Classes, r.Bound()); v.SingleTwice+v.KeyedTwice > 0 {
 		t.Logf("ran twice, at a loss of a sidecar: %d single-shot, %d keyed", v.SingleTwice, v.KeyedTwice)
 	}
 }
--- a/internal/testkit/processfleet/run.go
+++ b/internal/testkit/processfleet/run.go
@@ -67,7 +67,7 @@
 	err := p.steps(ctx)
 	err = errors.Join(err, p.heal())
 	from := time.Now()
-	settled := checker.Entry{Kind: checker.Settle}
+	settled := checker.Entry{Kind: checker.Convergence}
 	if !r.opts.NoFleet {
 		if _, ok := Until(convergenceTimeout, func() bool { return r.Agrees() && r.Agreed() }); !ok {
 			settled.Err = r.disagreement() + "; " + r.dissent()
--- a/internal/testkit/processfleet/view_test.go
+++ b/internal/testkit/processfleet/view_test.go
@@ -14,7 +14,7 @@
 // judged fails the test if the history breaks a rule.
 func judged(t *testing.T, r *Fleet) {
 	t.Helper()
-	for _, rule := range checker.Judge(r.History.Entries(), Classes, r.Bound()).Rules {
+	for _, rule := range checker.Check(r.History.Entries(), Classes, r.Bound()).Rules {
 		t.Error(rule)
 	}
 }
