--- a/internal/testkit/checker/checker.go
+++ b/internal/testkit/checker/checker.go
@@ -47,8 +47,8 @@
 	Err     string        `json:"err,omitempty"`
 }
 
-// mostEntries bounds a history.
-const mostEntries = 4 << 20
+// maxEntries bounds a history.
+const maxEntries = 4 << 20
 
 // History collects entries from any goroutine.
 type History struct {
@@ -69,7 +69,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	e.At = time.Since(h.from)
-	if len(h.entries) >= mostEntries {
+	if len(h.entries) >= maxEntries {
 		h.lost++
 		return e.At
 	}
@@ -139,8 +139,8 @@
 
 // Check looks at a history. bound is how long a view may be held after the next one was decided; 0: that is not judged.
 func Check(entries []Entry, classes []Class, bound time.Duration) Verdict {
-	j := judge{
-		verdict:  Verdict{Rules: judgeViews(entries, bound)},
+	j := requestChecker{
+		verdict:  Verdict{Rules: checkViews(entries, bound)},
 		single:   map[string]bool{},
 		requests: map[string]*request{},
 		keys:     map[string]int{},
@@ -152,7 +152,7 @@
 		j.add(e)
 	}
 	for _, id := range slices.Sorted(maps.Keys(j.requests)) {
-		j.judgeRequest(id, j.requests[id])
+		j.checkRequest(id, j.requests[id])
 	}
 	for _, runs := range j.keys {
 		if runs > 1 {
@@ -163,8 +163,8 @@
 	return j.verdict
 }
 
-// judge collects what a history says of each request.
-type judge struct {
+// requestChecker collects what a history says of each request.
+type requestChecker struct {
 	verdict  Verdict
 	single   map[string]bool // by class: its requests run once at the most
 	requests map[string]*request
@@ -181,7 +181,7 @@
 }
 
 // of returns the request of an entry.
-func (j *judge) of(e Entry) *request {
+func (j *requestChecker) of(e Entry) *request {
 	r := j.requests[e.ID]
 	if r == nil {
 		r = &request{class: e.Class, from: e.At}
@@ -191,7 +191,7 @@
 }
 
 // add takes in an entry.
-func (j *judge) add(e Entry) {
+func (j *requestChecker) add(e Entry) {
 	v := &j.verdict
 	switch e.Kind {
 	case Ask:
@@ -236,8 +236,8 @@
 	}
 }
 
-// judgeRequest judges what became of a request.
-func (j *judge) judgeRequest(id string, r *request) {
+// checkRequest judges what became of a request.
+func (j *requestChecker) checkRequest(id string, r *request) {
 	v := &j.verdict
 	v.Requests++
 	switch {
