--- a/internal/testkit/checker/checker.go
+++ b/internal/testkit/checker/checker.go
@@ -1,5 +1,5 @@
-// Package checker judges a run by its history alone: it knows nothing of the
-// code that made it. A history is a list of entries, one JSON line each.
+// Package checker checks a run from its recorded history alone, without any knowledge of the code under test. A history is
+// a list of entries, one JSON line each.
 package checker
 
 import (
@@ -14,25 +14,25 @@
 	"time"
 )
 
-// Kind is what an entry tells.
+// Kind is the kind of event that an entry records.
 type Kind string
 
 // The kinds of entries.
 const (
-	Ask         Kind = "ask"    // a client sends a try of a request to a sidecar
-	Answer      Kind = "answer" // what came of that try; Status 0: nothing came
-	Over        Kind = "over"   // the client gives the request up, or has its final answer; Status is that
-	Ran         Kind = "ran"    // an execute node began its work
-	Duplicate   Kind = "repeat" // an execute node knew the key and did no work
-	Strike      Kind = "strike" // the injector begins or ends a fault
-	Member      Kind = "member" // Sidecar believes State of Peer
-	Mode        Kind = "mode"   // Sidecar is in mode State
-	View        Kind = "view"   // Sidecar has decided, or adopted, by State, view ID with content Key
-	Ended       Kind = "ended"  // a process ended; Err is set if nobody asked for that
-	Convergence Kind = "settle" // how long the fleet took to be one again; Err: it did not
+	Ask         Kind = "ask"    // a client sends an attempt of a request to a sidecar
+	Answer      Kind = "answer" // the result of that attempt; Status 0: no answer arrived
+	Over        Kind = "over"   // the client has the final answer, with Status, or gives the request up, with Status 0
+	Ran         Kind = "ran"    // an execute node started to process a request
+	Duplicate   Kind = "repeat" // an execute node recognised the idempotency key of an earlier request and did no work
+	Strike      Kind = "strike" // the fault injector starts or ends a fault
+	Member      Kind = "member" // Sidecar considers Peer to be in State
+	Mode        Kind = "mode"   // Sidecar has entered mode State
+	View        Kind = "view"   // Sidecar has decided or adopted (State says which) view ID with content Key
+	Ended       Kind = "ended"  // a process ended; Err is set if it was not asked to
+	Convergence Kind = "settle" // State is the time that the fleet took to converge; Err is set if it did not converge
 )
 
-// Entry is a line of a history.
+// Entry is one recorded event, a line of a history.
 type Entry struct {
 	At      time.Duration `json:"at"` // nanoseconds since the start, by the recorder's clock
 	Kind    Kind          `json:"kind"`
@@ -47,7 +47,7 @@
 	Err     string        `json:"err,omitempty"`
 }
 
-// maxEntries bounds a history.
+// maxEntries limits the length of a history; later entries are only counted.
 const maxEntries = 4 << 20
 
 // History collects entries from any goroutine.
@@ -58,13 +58,13 @@
 	lost    int
 }
 
-// NewHistory begins a history now.
+// NewHistory returns an empty history whose time starts now.
 func NewHistory() *History { return &History{from: time.Now()} }
 
-// Now is the history's time.
+// Now returns the time since the start of the history.
 func (h *History) Now() time.Duration { return time.Since(h.from) }
 
-// Add adds an entry; its time is filled in.
+// Add appends an entry with the current time, which it returns.
 func (h *History) Add(e Entry) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -77,14 +77,14 @@
 	return e.At
 }
 
-// Entries are those so far.
+// Entries returns a copy of the entries recorded so far.
 func (h *History) Entries() []Entry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.entries)
 }
 
-// Write writes JSON lines.
+// Write writes the entries as JSON lines.
 func (h *History) Write(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	for _, e := range h.Entries() {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// Read reads JSON lines.
+// Read reads entries that Write has written.
 func Read(r io.Reader) ([]Entry, error) {
 	var all []Entry
 	for dec := json.NewDecoder(r); ; {
@@ -109,35 +109,36 @@
 	}
 }
 
-// Class is what a class promises.
+// Class describes the execution guarantees of a class of requests.
 type Class struct {
 	Name   string
-	Single bool          // never run twice
-	Window time.Duration // of keyed classes: a repeat within it is no second run where nodes drop it. 0: not keyed
+	Single bool          // whether a request must run at most once
+	Window time.Duration // deduplication window of a class with idempotency keys: nodes that deduplicate do not run a repeat within it; 0: no keys
 }
 
-// Verdict is what a history comes to.
+// Verdict is the result of checking a history.
 type Verdict struct {
-	Rules                                         []string // broken ones, a line each
+	Rules                                         []string // violated rules, one line each
 	Requests, Served, Refused, Failed, Unanswered int
 	RanTwice, SingleTwice, KeyedTwice             int
-	Repeats                                       int // that nodes dropped by their key
+	Repeats                                       int // duplicates that nodes recognised by their key
 	Strikes                                       int
-	Hit                                           int // requests with a try out at a sidecar while that was struck
+	Hit                                           int // requests that were in progress when a fault started or ended
 }
 
-// String is the last line of a run.
+// String returns the summary that a run prints as its last line.
 func (v Verdict) String() string {
 	return fmt.Sprintf("rules broken %d, unanswered %d, ran twice %d", len(v.Rules), v.Unanswered, v.RanTwice)
 }
 
-// Passed tells whether nothing was broken.
+// Passed reports whether no rule was violated and no request was unanswered or ran twice.
 func (v Verdict) Passed() bool { return len(v.Rules)+v.Unanswered+v.RanTwice == 0 }
 
-// slack is how much later than it happened a thing may stand in a history: processes share a busy machine.
+// slack is the tolerated delay between an event and its entry in the history: the processes share a busy machine.
 const slack = time.Second
 
-// Check looks at a history. bound is how long a view may be held after the next one was decided; 0: that is not judged.
+// Check checks a history. bound is the longest time for which a sidecar may use a view after the next one was decided;
+// 0: not checked.
 func Check(entries []Entry, classes []Class, bound time.Duration) Verdict {
 	j := requestChecker{
 		verdict:  Verdict{Rules: checkViews(entries, bound)},
@@ -163,16 +164,16 @@
 	return j.verdict
 }
 
-// requestChecker collects what a history says of each request.
+// requestChecker collects the events of each request and checks them.
 type requestChecker struct {
 	verdict  Verdict
-	single   map[string]bool // by class: its requests run once at the most
+	single   map[string]bool // by class: whether its requests must run at most once
 	requests map[string]*request
-	keys     map[string]int // runs under a key
+	keys     map[string]int // number of runs by idempotency key
 	strikes  []time.Duration
 }
 
-// request is what became of one request.
+// request is the recorded course of one request.
 type request struct {
 	class        string
 	finalAnswers int
@@ -190,7 +191,7 @@
 	return r
 }
 
-// add takes in an entry.
+// add processes one entry.
 func (j *requestChecker) add(e Entry) {
 	v := &j.verdict
 	switch e.Kind {
@@ -213,16 +214,16 @@
 		j.strikes = append(j.strikes, e.At)
 	case Ended:
 		if e.Err != "" {
-			v.Rules = append(v.Rules, fmt.Sprintf("%v: process of %s ended by itself: %s", e.At, e.Sidecar, e.Err))
+			v.Rules = append(v.Rules, fmt.Sprintf("%v: process of %s exited unexpectedly: %s", e.At, e.Sidecar, e.Err))
 		}
 	case Convergence:
 		if e.Err != "" {
-			v.Rules = append(v.Rules, fmt.Sprintf("%v: not one fleet again: %s", e.At, e.Err))
+			v.Rules = append(v.Rules, fmt.Sprintf("%v: fleet did not converge: %s", e.At, e.Err))
 		}
 	}
 }
 
-// countAnswer counts a final answer by its status; 0 is none.
+// countAnswer counts a final answer by its status; 0: no answer.
 func (v *Verdict) countAnswer(status int) {
 	switch status {
 	case http.StatusOK:
@@ -236,7 +237,7 @@
 	}
 }
 
-// checkRequest judges what became of a request.
+// checkRequest checks the number of final answers and of runs of one request.
 func (j *requestChecker) checkRequest(id string, r *request) {
 	v := &j.verdict
 	v.Requests++
--- a/internal/testkit/checker/views.go
+++ b/internal/testkit/checker/views.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// sidecarView is what a sidecar holds by its own word.
+// sidecarView is the view that a sidecar uses, according to its own reports.
 type sidecarView struct {
-	view     string // empty: none
-	together bool
-	stopped  time.Duration // since when it stands still; -1: it does not
-	resumed  time.Duration // when it last went on
+	view     string        // number of the adopted view; empty: none
+	together bool          // whether the sidecar is in mode "together"
+	stopped  time.Duration // time since which the process is stopped; -1: it runs
+	resumed  time.Duration // time at which the process was last resumed
 }
 
-// checkViews looks for two views of one number, a view that nobody decided, and one held too long after the next was
-// decided. A process that stands still holds nothing: it finds out before it acts.
+// checkViews reports views that have the same number but other content, and views that are used too long after the next one
+// was decided. A stopped process uses no view: once resumed, it detects that its view is outdated before it acts.
 func checkViews(entries []Entry, bound time.Duration) []string {
 	j := viewChecker{
 		bound:    bound,
@@ -32,18 +32,18 @@
 	return j.broken
 }
 
-// viewChecker follows which views were decided, and who holds which.
+// viewChecker tracks which views were decided, and which one each sidecar uses.
 type viewChecker struct {
-	bound    time.Duration            // how long a view may be held after the next one was decided; 0: that is not judged
-	sums     map[string]string        // of what each view holds, by its number
-	decided  map[string]time.Duration // when
-	after    map[string]string        // the view decided next
-	last     string                   // decided
-	sidecars map[string]*sidecarView  // by sidecar
+	bound    time.Duration            // longest time for which a view may be used after the next one was decided; 0: not checked
+	sums     map[string]string        // content checksum of each view, by the number of the view
+	decided  map[string]time.Duration // time at which each view was decided, by the number of the view
+	after    map[string]string        // number of the view decided next, by the number of the view
+	last     string                   // number of the view decided last
+	sidecars map[string]*sidecarView  // views in use, by the name of the sidecar
 	broken   []string
 }
 
-// add takes in an entry.
+// add processes one entry.
 func (j *viewChecker) add(e Entry) {
 	h := j.sidecars[e.Sidecar]
 	if h == nil {
@@ -59,7 +59,7 @@
 	case Ended:
 		*h = sidecarView{stopped: -1}
 	case Strike:
-		switch e.State { // of one process
+		switch e.State { // only the fault "stop" affects the use of views: it stops one process
 		case "stop":
 			j.checkOverdue(h, e.Sidecar, e.At)
 			h.stopped = e.At
@@ -69,10 +69,10 @@
 	}
 }
 
-// addView takes in a view that a sidecar has adopted or, as a voter, decided.
+// addView processes a view that a sidecar has adopted or, as a voter, decided.
 func (j *viewChecker) addView(h *sidecarView, e Entry) {
 	if was, ok := j.sums[e.ID]; ok && was != e.Key {
-		j.broken = append(j.broken, fmt.Sprintf("%v: %s has another view %s than was known", e.At, e.Sidecar, e.ID))
+		j.broken = append(j.broken, fmt.Sprintf("%v: %s reports a view %s whose content differs from an earlier report", e.At, e.Sidecar, e.ID))
 	}
 	j.sums[e.ID] = e.Key
 	if e.State == "adopted" {
@@ -90,7 +90,7 @@
 	j.last = e.ID
 }
 
-// checkOverdue reports a sidecar that still goes by a view though the next one was decided too long ago.
+// checkOverdue reports a sidecar that still uses a view although the next one was decided more than the bound ago.
 func (j *viewChecker) checkOverdue(h *sidecarView, name string, at time.Duration) {
 	if j.bound == 0 || !h.together || h.view == "" || h.stopped >= 0 {
 		return
@@ -99,6 +99,6 @@
 	if !decided || at <= max(j.decided[next]+j.bound, h.resumed)+slack {
 		return
 	}
-	j.broken = append(j.broken, fmt.Sprintf("%v: %s holds view %s, %v after %s was decided", at, name, h.view, at-j.decided[next], next))
-	h.view = "" // once is enough
+	j.broken = append(j.broken, fmt.Sprintf("%v: %s still uses view %s, %v after view %s was decided", at, name, h.view, at-j.decided[next], next))
+	h.view = "" // report each violation once
 }
--- a/internal/testkit/checker/windows.go
+++ b/internal/testkit/checker/windows.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Most is the greatest number of entries of a kind and class in any window of a length, by when they were told.
+// Most returns the greatest number of entries of a kind and class in any time window of the given length, by the times at
+// which the entries were recorded.
 func Most(entries []Entry, kind Kind, class string, window time.Duration) int {
 	var times []time.Duration
 	for _, e := range entries {
