--- a/internal/testkit/explore/explore.go
+++ b/internal/testkit/explore/explore.go
@@ -26,23 +26,23 @@
 
 // All plays every order of up to depth events, and at most so many paths. Its error names the events that led to what is
 // broken.
-func All(begin func() System, depth, mostPaths int) (Result, error) {
-	e := &explorer{begin: begin, seen: map[uint64]int{}, left: mostPaths}
+func All(begin func() System, depth, maxPaths int) (Result, error) {
+	e := &explorer{begin: begin, visited: map[uint64]int{}, pathsLeft: maxPaths}
 	err := e.from(nil, depth)
-	return Result{States: len(e.seen), Paths: mostPaths - e.left, Full: e.left > 0}, err
+	return Result{States: len(e.visited), Paths: maxPaths - e.pathsLeft, Full: e.pathsLeft > 0}, err
 }
 
 type explorer struct {
-	begin func() System
-	seen  map[uint64]int // state to the events that were left there, the most
-	left  int
+	begin     func() System
+	visited   map[uint64]int // state to the events that were left there, the most
+	pathsLeft int
 }
 
 func (e *explorer) from(path []int, depth int) error {
-	if e.left == 0 {
+	if e.pathsLeft == 0 {
 		return nil
 	}
-	e.left--
+	e.pathsLeft--
 	s := e.begin()
 	var names []string
 	for _, i := range path {
@@ -53,10 +53,10 @@
 		return fmt.Errorf("after %q: %w", names, err)
 	}
 	h := s.Hash()
-	if left, ok := e.seen[h]; ok && left >= depth {
+	if remaining, ok := e.visited[h]; ok && remaining >= depth {
 		return nil
 	}
-	e.seen[h] = depth
+	e.visited[h] = depth
 	if depth == 0 {
 		return nil
 	}
