--- a/internal/testkit/explore/explore.go
+++ b/internal/testkit/explore/explore.go
@@ -1,31 +1,31 @@
-// Package explore goes through every order of events of a small system, up to
-// a depth. States that were met with as many events left are not gone through
-// again. Systems need not be copied: each path is played from the start.
+// Package explore is a bounded model checker: it executes every order of events of a small system up to a depth. A state
+// that was visited before with at least as many remaining events is not expanded again. Systems need not be copied: each
+// path is replayed from the initial state.
 package explore
 
 import "fmt"
 
-// System is what is explored. The same events from the start lead to the same state.
+// System is a system under exploration. It is deterministic: the same events from the start lead to the same state.
 type System interface {
-	// Events names the events that can happen now, in the same order for the same state.
+	// Events returns the names of the enabled events, in the same order for the same state.
 	Events() []string
-	// Do lets the event of an index of Events happen.
+	// Do executes the event at the given index of Events.
 	Do(event int)
-	// Hash is equal for states from which the same can follow.
+	// Hash returns the same value for states with the same possible continuations.
 	Hash() uint64
-	// Check returns the invariant that is broken now, or nil.
+	// Check returns an error if the current state violates an invariant.
 	Check() error
 }
 
-// Result is how far an exploration came.
+// Result is the extent of an exploration.
 type Result struct {
-	States int // different ones
-	Paths  int // played
-	Full   bool
+	States int  // number of distinct states
+	Paths  int  // number of paths executed
+	Full   bool // whether maxPaths was not reached
 }
 
-// All plays every order of up to depth events, and at most so many paths. Its error names the events that led to what is
-// broken.
+// All executes every order of up to depth events, limited to maxPaths paths. Its error names the events that led to the
+// violated invariant.
 func All(begin func() System, depth, maxPaths int) (Result, error) {
 	e := &explorer{begin: begin, visited: map[uint64]int{}, pathsLeft: maxPaths}
 	err := e.from(nil, depth)
@@ -34,7 +34,7 @@
 
 type explorer struct {
 	begin     func() System
-	visited   map[uint64]int // state to the events that were left there, the most
+	visited   map[uint64]int // greatest number of remaining events with which a state was visited, by its hash
 	pathsLeft int
 }
 
