--- a/internal/testkit/faultline/datagrams.go
+++ b/internal/testkit/faultline/datagrams.go
@@ -9,7 +9,7 @@
 
 func (l *Link) passDatagrams() {
 	defer l.wg.Done()
-	b := make([]byte, mostDatagram)
+	b := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := l.udp.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
@@ -19,7 +19,7 @@
 			continue
 		}
 		l.mu.Lock()
-		f, target := l.there, l.target
+		f, target := l.toTarget, l.target
 		l.datagrams++
 		k := l.datagrams
 		l.mu.Unlock()
@@ -33,19 +33,19 @@
 		return
 	}
 	l.hits[hitDatagrams].Add(1)
-	r := l.chance(1, k)
-	lost, overtaken, doubled := r.Float64() < f.Loss, r.Float64() < f.Reorder, r.Float64() < f.Duplicate
+	r := l.randomFor(1, k)
+	lost, overtaken, duplicated := r.Float64() < f.Loss, r.Float64() < f.Reorder, r.Float64() < f.Duplicate
 	wait := f.wait(r)
 	if f.Drop || lost {
 		l.hits[hitLost].Add(1)
 		return
 	}
 	if overtaken {
-		wait += max(reorderFactor*wait, reorderLeast)
+		wait += max(reorderFactor*wait, minReorderDelay)
 		l.hits[hitReordered].Add(1)
 	}
 	copies := 1
-	if doubled {
+	if duplicated {
 		copies = 2
 		l.hits[hitDuplicated].Add(1)
 	}
@@ -54,7 +54,7 @@
 			_, _ = l.udp.WriteToUDPAddrPort(b, to) // lost, as datagrams are
 			continue
 		}
-		if l.delayed.Add(1) > mostDelayed {
+		if l.delayed.Add(1) > maxDelayed {
 			l.delayed.Add(-1)
 			l.hits[hitLost].Add(1)
 			continue
--- a/internal/testkit/faultline/faultline.go
+++ b/internal/testkit/faultline/faultline.go
@@ -19,14 +19,14 @@
 
 // Bounds of a link.
 const (
-	mostStreams   = 512  // at a time; one over it is closed
-	mostDelayed   = 8192 // datagrams on their way; one over it is lost
-	mostDatagram  = 64 << 10
-	chunkBytes    = 16 << 10 // of a stream, passed on at a time
-	dialTimeout   = 2 * time.Second
-	lookAgain     = 5 * time.Millisecond // while a way is held
-	reorderFactor = 3                    // a datagram that is overtaken comes this many delays later, and at least reorderLeast
-	reorderLeast  = 10 * time.Millisecond
+	maxStreams       = 512  // at a time; one over it is closed
+	maxDelayed       = 8192 // datagrams on their way; one over it is lost
+	maxDatagramBytes = 64 << 10
+	chunkBytes       = 16 << 10 // of a stream, passed on at a time
+	dialTimeout      = 2 * time.Second
+	pollInterval     = 5 * time.Millisecond // while a way is held
+	reorderFactor    = 3                    // a datagram that is overtaken comes this many delays later, and at least minReorderDelay
+	minReorderDelay  = 10 * time.Millisecond
 )
 
 // Fault is what happens to all that passes one way. The zero Fault passes everything on at once.
@@ -59,17 +59,17 @@
 	wg   sync.WaitGroup
 	done chan struct{}
 
-	mu            sync.Mutex
-	target        string
-	announces     bool
-	there, back   Fault // towards the target, and from it
-	streams       map[*stream]bool
-	datagrams     uint64 // numbers, from 1
-	conns         uint64
-	closed        bool
-	delayed       atomic.Int64
-	hits          [10]atomic.Int64
-	chunkOccasion atomic.Int64
+	mu                   sync.Mutex
+	target               string
+	announces            bool
+	toTarget, fromTarget Fault // towards the target, and from it
+	streams              map[*stream]bool
+	datagrams            uint64 // numbers, from 1
+	conns                uint64
+	closed               bool
+	delayed              atomic.Int64
+	hits                 [10]atomic.Int64
+	stalledChunks        atomic.Int64
 }
 
 const (
@@ -81,8 +81,8 @@
 	hitStreams
 	hitRefused
 	hitHung
-	hitCut
-	hitHalf
+	hitReset
+	hitHalfClosed
 )
 
 // NewLink opens a link to target at a free port of host, for streams and for datagrams.
@@ -115,10 +115,10 @@
 func (l *Link) Addr() string { return l.tcp.Addr().String() }
 
 // Set changes the faults towards the target and from it. Datagrams only ever go towards it.
-func (l *Link) Set(there, back Fault) {
+func (l *Link) Set(toTarget, fromTarget Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.there, l.back = there, back
+	l.toTarget, l.fromTarget = toTarget, fromTarget
 }
 
 // Disconnect ends all streams with a reset, or, half, only the writing towards the target.
@@ -129,12 +129,12 @@
 		if half {
 			if s.to != nil {
 				_ = s.to.CloseWrite()
-				l.hits[hitHalf].Add(1)
+				l.hits[hitHalfClosed].Add(1)
 			}
 			continue
 		}
 		s.reset()
-		l.hits[hitCut].Add(1)
+		l.hits[hitReset].Add(1)
 	}
 }
 
@@ -142,7 +142,7 @@
 func (l *Link) Hits() Hits {
 	h := func(i int) int64 { return l.hits[i].Load() }
 	return Hits{Datagrams: h(hitDatagrams), Lost: h(hitLost), Duplicated: h(hitDuplicated), Reordered: h(hitReordered), Delayed: h(hitDelayed),
-		Streams: h(hitStreams), Refused: h(hitRefused), Hung: h(hitHung), Cut: h(hitCut), HalfClosed: h(hitHalf), Held: l.chunkOccasion.Load()}
+		Streams: h(hitStreams), Refused: h(hitRefused), Hung: h(hitHung), Cut: h(hitReset), HalfClosed: h(hitHalfClosed), Held: l.stalledChunks.Load()}
 }
 
 // Close ends the link and all that is on it.
@@ -163,8 +163,8 @@
 	l.wg.Wait()
 }
 
-// chance is what is drawn for the k-th of its kind.
-func (l *Link) chance(kind, k uint64) *rand.Rand { return rand.New(rand.NewPCG(l.seed+kind, k)) }
+// randomFor is what is drawn for the k-th of its kind.
+func (l *Link) randomFor(kind, k uint64) *rand.Rand { return rand.New(rand.NewPCG(l.seed+kind, k)) }
 
 func (f Fault) wait(r *rand.Rand) time.Duration {
 	d := f.Delay
--- a/internal/testkit/faultline/streams.go
+++ b/internal/testkit/faultline/streams.go
@@ -45,10 +45,10 @@
 		}
 		s := &stream{from: nc.(*net.TCPConn)}
 		l.mu.Lock()
-		f, target := l.there, l.target
+		f, target := l.toTarget, l.target
 		l.conns++
 		k := l.conns
-		full := l.closed || len(l.streams) >= mostStreams
+		full := l.closed || len(l.streams) >= maxStreams
 		if !full && !f.Refuse {
 			l.streams[s] = true
 			l.wg.Add(1)
@@ -103,9 +103,9 @@
 	both.Add(1)
 	go func() {
 		defer both.Done()
-		l.pass(s.to, s.from, func() Fault { return l.back }, l.chance(3, k))
+		l.pass(s.to, s.from, func() Fault { return l.fromTarget }, l.randomFor(3, k))
 	}()
-	l.pass(s.from, s.to, func() Fault { return l.there }, l.chance(2, k))
+	l.pass(s.from, s.to, func() Fault { return l.toTarget }, l.randomFor(2, k))
 	both.Wait()
 }
 
@@ -115,12 +115,12 @@
 	for {
 		l.mu.Lock()
 		announces = l.announces
-		dropped := announces && (l.there.Drop || l.back.Drop)
+		dropped := announces && (l.toTarget.Drop || l.fromTarget.Drop)
 		l.mu.Unlock()
 		if !dropped {
 			return announces, true
 		}
-		if !l.sleep(lookAgain) {
+		if !l.sleep(pollInterval) {
 			return announces, false
 		}
 	}
@@ -149,11 +149,11 @@
 			if wait > 0 && !l.sleep(wait) {
 				return
 			}
-			for held := false; fault().Drop; held = true {
-				if !held {
-					l.chunkOccasion.Add(1)
+			for stalled := false; fault().Drop; stalled = true {
+				if !stalled {
+					l.stalledChunks.Add(1)
 				}
-				if !l.sleep(lookAgain) {
+				if !l.sleep(pollInterval) {
 					return
 				}
 			}
@@ -164,7 +164,7 @@
 		}
 		if err != nil {
 			for fault().Drop { // the end does not pass either
-				if !l.sleep(lookAgain) {
+				if !l.sleep(pollInterval) {
 					return
 				}
 			}
