--- a/internal/testkit/faultline/datagrams.go
+++ b/internal/testkit/faultline/datagrams.go
@@ -51,7 +51,7 @@
 	}
 	for range copies {
 		if wait == 0 {
-			_, _ = l.udp.WriteToUDPAddrPort(b, to) // lost, as datagrams are
+			_, _ = l.udp.WriteToUDPAddrPort(b, to) // a failed write counts as the loss of a datagram
 			continue
 		}
 		if l.delayed.Add(1) > maxDelayed {
@@ -62,7 +62,7 @@
 		l.hits[hitDelayed].Add(1)
 		time.AfterFunc(wait, func() {
 			l.delayed.Add(-1)
-			_, _ = l.udp.WriteToUDPAddrPort(b, to) // fails once the link is closed
+			_, _ = l.udp.WriteToUDPAddrPort(b, to) // fails if the link was closed meanwhile
 		})
 	}
 }
--- a/internal/testkit/faultline/faultline.go
+++ b/internal/testkit/faultline/faultline.go
@@ -1,8 +1,6 @@
-// Package faultline is a fault injector between loopback sockets. A Link
-// stands at an address of its own and passes streams and datagrams on to a
-// target, each way with the faults that it is told. What happens to the k-th
-// datagram or connection of a link depends on the seed, the link's name and k
-// alone.
+// Package faultline injects network faults between loopback sockets. A Link is a proxy with an address of its own: it
+// forwards streams and datagrams to a target and applies the configured faults in each direction. The random faults of the
+// k-th datagram or connection of a link depend on the seed, the link's name and k alone, so that a run can be repeated.
 package faultline
 
 import (
@@ -19,37 +17,37 @@
 
 // Bounds of a link.
 const (
-	maxStreams       = 512  // at a time; one over it is closed
-	maxDelayed       = 8192 // datagrams on their way; one over it is lost
+	maxStreams       = 512  // simultaneous connections; a further one is reset
+	maxDelayed       = 8192 // delayed datagrams that were not sent on yet; a further one is lost
 	maxDatagramBytes = 64 << 10
-	chunkBytes       = 16 << 10 // of a stream, passed on at a time
+	chunkBytes       = 16 << 10 // greatest number of bytes of a stream that are forwarded at a time
 	dialTimeout      = 2 * time.Second
-	pollInterval     = 5 * time.Millisecond // while a way is held
-	reorderFactor    = 3                    // a datagram that is overtaken comes this many delays later, and at least minReorderDelay
+	pollInterval     = 5 * time.Millisecond // interval of checks whether a Drop has ended
+	reorderFactor    = 3                    // additional delay of a reordered datagram in units of its delay
 	minReorderDelay  = 10 * time.Millisecond
 )
 
-// Fault is what happens to all that passes one way. The zero Fault passes everything on at once.
+// Fault describes the faults of one direction. The zero Fault forwards everything without delay.
 type Fault struct {
-	Drop      bool          // datagrams vanish, streams stand still; what they carried goes on once this ends
-	Loss      float64       // part of the datagrams that vanish
-	Delay     time.Duration // of each datagram, and of each piece of a stream
-	Jitter    time.Duration // on top, evenly drawn
-	Rate      int           // bytes a second of a stream; 0: no limit
-	Reorder   float64       // part of the datagrams that later ones overtake
-	Duplicate float64       // part of the datagrams that come twice
-	Hang      bool          // a new connection is taken, and nothing follows
+	Drop      bool          // datagrams are lost, streams stall; the data of streams is forwarded once the fault ends
+	Loss      float64       // fraction of the datagrams that are lost
+	Delay     time.Duration // delay of each datagram and of each chunk of a stream
+	Jitter    time.Duration // upper limit of an additional, uniformly distributed delay
+	Rate      int           // bytes per second of a stream; 0: no limit
+	Reorder   float64       // fraction of the datagrams that later ones overtake
+	Duplicate float64       // fraction of the datagrams that are delivered twice
+	Hang      bool          // a new connection is accepted, but nothing is forwarded or answered
 	Refuse    bool          // a new connection is reset
 }
 
-// Hits counts what faults struck.
+// Hits counts the datagrams and connections of a link, and those that were affected by each fault.
 type Hits struct {
 	Datagrams, Lost, Duplicated, Reordered, Delayed int64
 	Streams, Refused, Hung, Cut, HalfClosed         int64
-	Held                                            int64 // pieces of streams that waited for a Drop to end
+	Held                                            int64 // chunks of streams that waited for a Drop to end
 }
 
-// Link is an injector before one target.
+// Link is a fault-injecting proxy of one target.
 type Link struct {
 	Name string
 
@@ -62,9 +60,9 @@
 	mu                   sync.Mutex
 	target               string
 	announces            bool
-	toTarget, fromTarget Fault // towards the target, and from it
+	toTarget, fromTarget Fault // faults of the two directions
 	streams              map[*stream]bool
-	datagrams            uint64 // numbers, from 1
+	datagrams            uint64 // number of the newest datagram; the first is 1
 	conns                uint64
 	closed               bool
 	delayed              atomic.Int64
@@ -85,10 +83,10 @@
 	hitHalfClosed
 )
 
-// NewLink opens a link to target at a free port of host, for streams and for datagrams.
+// NewLink opens a link to target on a free port of host, for both TCP and UDP.
 func NewLink(name, host, target string, seed uint64) (*Link, error) {
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, name) // a hash takes everything
+	_, _ = io.WriteString(h, name) // writing to a hash never fails
 	tcp, udp, err := socket.Pair(net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
@@ -100,28 +98,29 @@
 	return l, nil
 }
 
-// Announcement is the byte that an announcing link sends to its caller first.
+// Announcement is the first byte that an announcing link sends to its caller.
 const Announcement = '+'
 
-// Announce has the link tell each caller by one byte that its connection has reached the target. While a way drops, it
-// does not reach it: a caller that waits for the byte sees what the opening of a connection over a cut looks like.
+// Announce makes the link send one byte to each caller once its connection has reached the target. While either direction
+// drops, the connection does not reach the target: to a caller that waits for the byte, this looks like a TCP handshake
+// during a network partition.
 func (l *Link) Announce() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.announces = true
 }
 
-// Addr is where the link stands.
+// Addr returns the address at which the link listens.
 func (l *Link) Addr() string { return l.tcp.Addr().String() }
 
-// Set changes the faults towards the target and from it. Datagrams only ever go towards it.
+// Set changes the faults towards the target and from it. Datagrams are only forwarded towards the target.
 func (l *Link) Set(toTarget, fromTarget Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.toTarget, l.fromTarget = toTarget, fromTarget
 }
 
-// Disconnect ends all streams with a reset, or, half, only the writing towards the target.
+// Disconnect resets all streams, or, if half is set, only closes their direction towards the target.
 func (l *Link) Disconnect(half bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,14 +137,14 @@
 	}
 }
 
-// Hits are the counts so far.
+// Hits returns the current counts.
 func (l *Link) Hits() Hits {
 	h := func(i int) int64 { return l.hits[i].Load() }
 	return Hits{Datagrams: h(hitDatagrams), Lost: h(hitLost), Duplicated: h(hitDuplicated), Reordered: h(hitReordered), Delayed: h(hitDelayed),
 		Streams: h(hitStreams), Refused: h(hitRefused), Hung: h(hitHung), Cut: h(hitReset), HalfClosed: h(hitHalfClosed), Held: l.stalledChunks.Load()}
 }
 
-// Close ends the link and all that is on it.
+// Close closes the link and all its connections, and waits for its goroutines to end.
 func (l *Link) Close() {
 	l.mu.Lock()
 	if l.closed {
@@ -163,7 +162,7 @@
 	l.wg.Wait()
 }
 
-// randomFor is what is drawn for the k-th of its kind.
+// randomFor returns the random numbers for the k-th datagram or connection; kind separates independent sequences.
 func (l *Link) randomFor(kind, k uint64) *rand.Rand { return rand.New(rand.NewPCG(l.seed+kind, k)) }
 
 func (f Fault) wait(r *rand.Rand) time.Duration {
--- a/internal/testkit/faultline/faultline_test.go
+++ b/internal/testkit/faultline/faultline_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// peer is a target: it counts datagrams and echoes streams.
+// peer starts a target that reports the datagrams that it receives and echoes streams.
 func peer(t *testing.T) (addr string, datagrams chan string) {
 	t.Helper()
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,7 +59,8 @@
 	return l
 }
 
-// send sends numbered datagrams through a link and gives those that come, in order, until none is out any more.
+// send sends n datagrams through a link, each with a letter, and returns the received letters in order of arrival once all
+// datagrams that were not lost have arrived.
 func send(t *testing.T, l *Link, got chan string, n int) string {
 	t.Helper()
 	nc, err := net.Dial("udp", l.Addr())
@@ -73,10 +74,10 @@
 		if _, err := nc.Write([]byte{'a' + byte(i%26)}); err != nil {
 			t.Fatal(err)
 		}
-		// One after another, so that the system's own order is no part of the test.
+		// Each datagram is sent after the link has received the previous one, so that the operating system cannot reorder them.
 		for end := time.Now().Add(10 * time.Second); l.Hits().Datagrams < before.Datagrams+int64(i)+1; time.Sleep(100 * time.Microsecond) {
 			if time.Now().After(end) {
-				t.Fatal("a datagram did not reach the link")
+				t.Fatal("a datagram did not reach the link within 10 s")
 			}
 		}
 	}
@@ -87,13 +88,13 @@
 		case d := <-got:
 			all.WriteString(d)
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%d of %d came", all.Len(), want)
+			t.Fatalf("received %d of %d datagrams", all.Len(), want)
 		}
 	}
 	return all.String()
 }
 
-// What is lost or doubled depends on seed, name and number alone.
+// Which datagrams are lost or duplicated depends only on the seed, the link's name and the datagram's number.
 func TestFaultsFollowFromSeedNameAndNumber(t *testing.T) {
 	target, got := peer(t)
 	f := Fault{Loss: 0.3, Duplicate: 0.2}
@@ -104,13 +105,13 @@
 	}
 	first := run("a>b", 1)
 	if again := run("a>b", 1); again != first {
-		t.Errorf("%s\nthen %s", first, again)
+		t.Errorf("two runs with the same seed and name differ:\n%s\n%s", first, again)
 	}
 	if run("a>b", 2) == first || run("a>c", 1) == first {
 		t.Error("another seed or link gives the same faults")
 	}
 	if len(first) < 100 || len(first) > 240 {
-		t.Errorf("%d of 200 came", len(first))
+		t.Errorf("received %d datagrams after sending 200, expected 100 to 240", len(first))
 	}
 }
 
@@ -119,7 +120,7 @@
 	l := link(t, "x", target, 1)
 	l.Set(Fault{Drop: true}, Fault{})
 	if s := send(t, l, got, 5); s != "" {
-		t.Errorf("%q passed", s)
+		t.Errorf("received %q through a link that drops", s)
 	}
 	l.Set(Fault{Reorder: 0.3, Delay: time.Millisecond}, Fault{})
 	if s := send(t, l, got, 26); s == "abcdefghijklmnopqrstuvwxyz" || len(s) != 26 || l.Hits().Reordered == 0 {
@@ -157,13 +158,13 @@
 	nc := dial(t, l)
 	echo(t, nc)
 
-	l.Set(Fault{Drop: true}, Fault{}) // stands still, and goes on where it was
+	l.Set(Fault{Drop: true}, Fault{}) // the stream stalls, and resumes without loss
 	if _, err := nc.Write([]byte("on")); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(10 * time.Second); l.Hits().Held == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("nothing was held")
+			t.Fatal("no chunk was held back by the drop")
 		}
 	}
 	l.Set(Fault{}, Fault{})
@@ -172,7 +173,7 @@
 		t.Fatalf("%q, %v", b, err)
 	}
 
-	l.Disconnect(true) // the other side sees an end, and answers with one
+	l.Disconnect(true) // the target sees the end of the stream and closes its own direction
 	if _, err := nc.Read(b); !errors.Is(err, io.EOF) {
 		t.Errorf("after a half-close: %v", err)
 	}
@@ -180,10 +181,10 @@
 	echo(t, nc)
 	l.Disconnect(false)
 	if _, err := nc.Read(b); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("after a cut: %v", err)
+		t.Errorf("after a disconnect: %v", err)
 	}
 	l.Set(Fault{Refuse: true}, Fault{})
-	refused, err := net.Dial("tcp", l.Addr()) // the reset may come before the dial is over
+	refused, err := net.Dial("tcp", l.Addr()) // the reset may arrive before Dial returns
 	if err == nil {
 		if err := refused.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
 			t.Fatal(err)
--- a/internal/testkit/faultline/network.go
+++ b/internal/testkit/faultline/network.go
@@ -9,31 +9,32 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Way is one direction between two machines, by their names.
+// Way is one direction between two machines, given by their names.
 type Way struct{ From, To string }
 
-// Effect is a fault on some ways of a network.
+// Effect is a fault in the directions of a network for which Covers returns true.
 type Effect struct {
 	Covers func(Way) bool
 	Fault  Fault
 }
 
-// Network is announcing links between machines, one from each caller to each service that it calls. Several effects on
-// a way add up: one that drops is enough, delays are added, and the lowest rate counts.
+// Network is a set of announcing links between machines, one from each caller to each service that it calls. Several effects
+// on one direction are combined: the direction drops if any effect does, delays are added, and the lowest rate applies. Other
+// faults of an effect are ignored.
 type Network struct {
 	seed uint64
 
 	mutex   sync.Mutex
-	links   map[Way]*Link // by caller and callee
+	links   map[Way]*Link // links by caller and callee
 	effects map[*Effect]bool
 }
 
-// NewNetwork is a network without links.
+// NewNetwork returns a network without links.
 func NewNetwork(seed uint64) *Network {
 	return &Network{seed: seed, links: make(map[Way]*Link), effects: make(map[*Effect]bool)}
 }
 
-// Open opens the link by which a machine calls a service of another one, and returns the link's address.
+// Open opens the link through which a machine calls a service of another one, and returns the link's address.
 func (n *Network) Open(way Way, target string) (address string, err error) {
 	link, err := NewLink(way.From+" "+way.To, "127.0.0.1", target, n.seed)
 	if err != nil {
@@ -46,7 +47,7 @@
 	return link.Addr(), nil
 }
 
-// Add puts an effect in force and returns what takes it back.
+// Add applies an effect and returns a function that removes it.
 func (n *Network) Add(added Effect) (remove func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -60,7 +61,7 @@
 	}
 }
 
-// set tells each link the sum of all effects.
+// set configures each link with the combined effects of its two directions.
 func (n *Network) set() {
 	for way, link := range n.links {
 		link.Set(n.sum(way), n.sum(Way{From: way.To, To: way.From}))
@@ -90,14 +91,14 @@
 	}
 }
 
-// Dialer opens connections by announcing links. It returns when a link has reached its target, so that a cut holds it
-// up as it would hold up the opening of a connection.
+// Dialer opens connections through announcing links. It returns once a link has reached its target, so that a network
+// partition delays it as it would delay a TCP handshake.
 type Dialer struct {
-	Links map[string]string // address of the link, by the address of its target; what is not in it is dialed directly
-	Limit time.Duration     // for one connection
+	Links map[string]string // address of the link by the address of its target; an address without a link is dialed directly
+	Limit time.Duration     // time limit of opening one connection
 }
 
-// DialContext is net.Dialer's.
+// DialContext has the signature of net.Dialer.DialContext.
 func (d *Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.Limit)
 	defer cancel()
@@ -120,7 +121,7 @@
 	release := context.AfterFunc(ctx, func() { _ = connection.SetReadDeadline(time.Now()) })
 	_, err := connection.Read(make([]byte, 1))
 	if err == nil && !release() {
-		return ctx.Err() // the deadline is set, or will be
+		return ctx.Err() // the read deadline is set already, or will be
 	}
 	return err
 }
--- a/internal/testkit/faultline/network_test.go
+++ b/internal/testkit/faultline/network_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A cut holds up the opening of a connection, whichever way it cuts, until it ends.
+// A partition of either direction delays the opening of a connection until the partition ends.
 func TestACutHoldsUpTheOpeningOfAConnection(t *testing.T) {
 	target, _ := peer(t)
 	network := NewNetwork(1)
@@ -54,7 +54,8 @@
 	require.Equal(t, Fault{Delay: time.Second, Rate: 10}, network.sum(Way{"a", "b"}))
 }
 
-// A caller that waits for the announcement sees a cut as one sees it that opens a connection over it.
+// A caller that waits for the announcement does not receive it while a direction drops, as if the TCP handshake did not
+// complete.
 func TestAnAnnouncingLinkTellsWhenTheTargetIsReached(t *testing.T) {
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/testkit/faultline/streams.go
+++ b/internal/testkit/faultline/streams.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// stream is one connection through a link.
+// stream is one TCP connection through a link: from the caller, and to the target (nil until it is connected).
 type stream struct {
 	from, to *net.TCPConn
 }
@@ -21,7 +21,7 @@
 	}
 }
 
-// reset closes both connections so that their other ends see a reset. One that has ended already stays as it is.
+// reset closes both connections so that their peers see a reset. A connection that was closed before stays as it is.
 func (s *stream) reset() {
 	_ = s.from.SetLinger(0)
 	if s.to != nil {
@@ -30,7 +30,7 @@
 	s.close()
 }
 
-// resetConnection closes one connection so that its other end sees a reset.
+// resetConnection closes one connection so that its peer sees a reset.
 func resetConnection(connection *net.TCPConn) {
 	_ = connection.SetLinger(0)
 	_ = connection.Close()
@@ -71,11 +71,11 @@
 	}
 }
 
-// serve carries one connection until both ways have ended.
+// serve forwards one connection until both directions have ended.
 func (l *Link) serve(s *stream, f Fault, target string, k uint64) {
 	if f.Hang {
 		l.hits[hitHung].Add(1)
-		_, _ = io.Copy(io.Discard, s.from) // until the caller, or Close, ends it
+		_, _ = io.Copy(io.Discard, s.from) // until the caller or Close ends the connection
 		return
 	}
 	announces, open := l.awaitOpen()
@@ -84,7 +84,7 @@
 	}
 	nc, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
-		_ = s.from.SetLinger(0) // the caller sees a reset
+		_ = s.from.SetLinger(0) // makes the close that follows a reset
 		return
 	}
 	l.mu.Lock()
@@ -109,8 +109,8 @@
 	both.Wait()
 }
 
-// awaitOpen waits, on a link that announces, until both ways pass. It tells whether it announces, and false if the
-// link was closed meanwhile.
+// awaitOpen waits, on an announcing link, until neither direction drops. It returns whether the link announces, and whether
+// it is still open.
 func (l *Link) awaitOpen() (announces, open bool) {
 	for {
 		l.mu.Lock()
@@ -126,7 +126,7 @@
 	}
 }
 
-// pass carries one way of a stream. An end is passed on as an end, a reset as a reset.
+// pass forwards one direction of a stream. It forwards the end of the stream as a half-close and a reset as a reset.
 func (l *Link) pass(from, to *net.TCPConn, way func() Fault, r *rand.Rand) {
 	fault := func() Fault {
 		l.mu.Lock()
@@ -163,7 +163,7 @@
 			}
 		}
 		if err != nil {
-			for fault().Drop { // the end does not pass either
+			for fault().Drop { // a Drop also delays the end of the stream
 				if !l.sleep(pollInterval) {
 					return
 				}
