--- a/internal/testkit/history/groups.go
+++ b/internal/testkit/history/groups.go
@@ -108,22 +108,22 @@
 func (g *group) observe(by *Call, event Event) {
 	observed := g.writes[writeName{event.Key, event.Value}]
 	if observed == nil {
-		g.checker.report(RuleMixed, []*Call{by}, "value %q of %s was never put", event.Value, event.Key)
+		g.checker.report(RuleMixed, []*Call{by}, "value %q of key %s was observed but never put", event.Value, event.Key)
 		return
 	}
 	if by.Answered < observed.first().Sent {
-		g.checker.report(RuleMixed, []*Call{observed.first(), by}, "value %q of %s is shown before it was put", event.Value, event.Key)
+		g.checker.report(RuleMixed, []*Call{observed.first(), by}, "value %q of key %s was observed before it was put", event.Value, event.Key)
 	}
 	if rejection := observed.rejection(); rejection != nil {
-		g.checker.report(RuleRefused, []*Call{rejection, by}, "value %q of %s is shown though its put was rejected", event.Value, event.Key)
+		g.checker.report(RuleRefused, []*Call{rejection, by}, "value %q of key %s was observed although its put was rejected", event.Value, event.Key)
 	}
 	if observed.observedBy != nil && observed.revision != event.Revision {
-		g.checker.report(RuleMixed, []*Call{observed.observedBy, by}, "value %q of %s has the revisions %d and %d",
+		g.checker.report(RuleMixed, []*Call{observed.observedBy, by}, "value %q of key %s was observed with two revisions, %d and %d",
 			event.Value, event.Key, observed.revision, event.Revision)
 		return
 	}
 	if other := g.byRevision[event.Revision]; other != nil && other != observed {
-		g.checker.report(RuleOrder, []*Call{other.observedBy, by}, "revision %d of group %s is given twice", event.Revision, g.name)
+		g.checker.report(RuleOrder, []*Call{other.observedBy, by}, "revision %d of group %s was assigned to two writes", event.Revision, g.name)
 		return
 	}
 	if observed.observedBy == nil || by.Answered < observed.observedBy.Answered {
@@ -154,7 +154,7 @@
 		before := earlier.before(wrote.first())
 		if before != nil && wrote.revision <= observedRevision(before) {
 			g.checker.report(RuleOrder, []*Call{before, wrote.first(), wrote.observedBy},
-				"revision %d of group %s is not above %d, which was shown before the put was sent", wrote.revision, g.name, observedRevision(before))
+				"revision %d of group %s is not above %d, which was observed before the put was sent", wrote.revision, g.name, observedRevision(before))
 		}
 	}
 }
@@ -169,14 +169,14 @@
 		expected := *wrote.first().Expected
 		if replaced := g.byRevision[expected]; replaced != nil && replaced.key != wrote.key {
 			g.checker.report(RuleOrder, []*Call{replaced.observedBy, wrote.first(), wrote.observedBy},
-				"a put to %s succeeded over revision %d, which is of %s", wrote.key, expected, replaced.key)
+				"a put to key %s succeeded with expected revision %d, which belongs to key %s", wrote.key, expected, replaced.key)
 		}
 		for _, otherName := range g.names {
 			other := g.writes[otherName]
 			isBetween := other.observedBy != nil && other.key == wrote.key && expected < other.revision && other.revision < wrote.revision
 			if isBetween {
 				g.checker.report(RuleOrder, []*Call{other.observedBy, wrote.first(), wrote.observedBy},
-					"a put to %s over revision %d succeeded as %d over %d", wrote.key, expected, wrote.revision, other.revision)
+					"a put to key %s with expected revision %d succeeded with revision %d, although revision %d of the key lies between", wrote.key, expected, wrote.revision, other.revision)
 				break
 			}
 		}
@@ -201,7 +201,7 @@
 				continue
 			}
 			if before := earlier.before(call); before != nil && observedRevision(call) < observedRevision(before) {
-				g.checker.report(ruleOf(call, RuleStale), []*Call{before, call}, "revision %d of %s is below %d, which was shown before the call was sent",
+				g.checker.report(ruleOf(call, RuleStale), []*Call{before, call}, "revision %d of key %s is below %d, which was observed before the call was sent",
 					observedRevision(call), key, observedRevision(before))
 			}
 			if call.Outcome == Mismatch {
@@ -214,7 +214,7 @@
 // checkMismatch requires that the rejection of a conditional put names a revision of the key other than the expected one.
 func (g *group) checkMismatch(call *Call) {
 	if call.Expected != nil && *call.Expected == call.Revision {
-		g.checker.report(RuleRefused, []*Call{call}, "a put to %s is rejected for the revision that it expected", call.Name)
+		g.checker.report(RuleRefused, []*Call{call}, "a put to key %s was rejected although the reported revision is the expected one", call.Name)
 	}
 	if call.Revision == 0 {
 		return
@@ -222,9 +222,9 @@
 	named := g.byRevision[call.Revision]
 	switch {
 	case named != nil && named.key != call.Name:
-		g.checker.report(RuleMixed, []*Call{named.observedBy, call}, "revision %d is not of %s but of %s", call.Revision, call.Name, named.key)
+		g.checker.report(RuleMixed, []*Call{named.observedBy, call}, "revision %d was reported for key %s but belongs to key %s", call.Revision, call.Name, named.key)
 	case named == nil && !g.mayHaveRevision(call.Name):
-		g.checker.report(RuleMixed, []*Call{call}, "no put gave %s the revision %d", call.Name, call.Revision)
+		g.checker.report(RuleMixed, []*Call{call}, "no put can have given key %s the reported revision %d", call.Name, call.Revision)
 	}
 }
 
--- a/internal/testkit/history/locks.go
+++ b/internal/testkit/history/locks.go
@@ -37,7 +37,7 @@
 				break
 			}
 			if second.caller != first.caller {
-				c.report(RuleOne, slices.Concat(first.calls, second.calls), "%s and %s both hold %s at %v",
+				c.report(RuleOne, slices.Concat(first.calls, second.calls), "%s and %s both hold lock %s at %v",
 					first.caller, second.caller, name, second.from)
 			}
 		}
@@ -117,7 +117,7 @@
 			continue
 		}
 		if other := acquired[call.Fence]; other != nil && other.Caller != call.Caller {
-			c.report(RuleOne, []*Call{other, call}, "fence %d of %s goes to two holders", call.Fence, name)
+			c.report(RuleOne, []*Call{other, call}, "fencing token %d of lock %s was granted to two holders", call.Fence, name)
 		}
 		acquired[call.Fence] = call
 		grants = append(grants, call)
@@ -129,7 +129,7 @@
 		}
 		for _, before := range grants {
 			if before.isBefore(call) && !mayFollow(call, before) {
-				c.report(ruleOf(call, RuleOne), []*Call{before, call}, "fence %d of %s is granted after %d was given to %s",
+				c.report(ruleOf(call, RuleOne), []*Call{before, call}, "fencing token %d of lock %s was granted after token %d had been granted to %s",
 					call.Fence, name, before.Fence, before.Caller)
 				break
 			}
--- a/internal/testkit/history/numbers.go
+++ b/internal/testkit/history/numbers.go
@@ -12,7 +12,7 @@
 				continue
 			}
 			if other := givenBy[call.Number]; other != nil {
-				c.report(ruleOf(call, RuleOrder), []*Call{other, call}, "number %d of %s is given twice", call.Number, name)
+				c.report(ruleOf(call, RuleOrder), []*Call{other, call}, "number %d of counter %s was returned twice", call.Number, name)
 			}
 			givenBy[call.Number] = call
 			given = append(given, call)
@@ -28,7 +28,7 @@
 	highest := newHighest(earlier, returned)
 	for _, call := range later {
 		if before := highest.before(call); before != nil && returned(call) <= returned(before) {
-			c.report(ruleOf(call, rule), []*Call{before, call}, "%s %d is not above %d, which was given before the call was sent",
+			c.report(ruleOf(call, rule), []*Call{before, call}, "%s %d is not above %d, which was returned before the call was sent",
 				what, returned(call), returned(before))
 		}
 	}
--- a/internal/testkit/history/verdict.go
+++ b/internal/testkit/history/verdict.go
@@ -150,7 +150,7 @@
 	}
 	for _, wanted := range objects {
 		if !answered[wanted] {
-			c.report(RuleLost, []*Call{asked[wanted]}, "no answer to any %s of %s at the end", wanted.kind, wanted.name)
+			c.report(RuleLost, []*Call{asked[wanted]}, "no %s call on %s was answered at the end of the run", wanted.kind, wanted.name)
 		}
 	}
 }
--- a/internal/testkit/history/watches.go
+++ b/internal/testkit/history/watches.go
@@ -18,7 +18,7 @@
 		case call.Outcome != OK:
 		case call.After == 0:
 			if before := earlier.before(call); before != nil && call.Revision < observedRevision(before) {
-				g.checker.report(ruleOf(call, RuleStale), []*Call{before, call}, "revision %d of group %s is below %d, which was shown before the call was sent",
+				g.checker.report(ruleOf(call, RuleStale), []*Call{before, call}, "revision %d of group %s is below %d, which was observed before the call was sent",
 					call.Revision, g.name, observedRevision(before))
 			}
 		default:
@@ -32,14 +32,14 @@
 	last := call.After
 	for _, event := range call.Events {
 		if event.Revision <= last || event.Revision > call.Revision {
-			g.checker.report(RuleOrder, []*Call{call}, "revision %d of a watch of %s after %d does not rise, or is beyond %d",
+			g.checker.report(RuleOrder, []*Call{call}, "event revision %d in a watch of group %s is not above the previous revision %d, or is above the returned revision %d",
 				event.Revision, g.name, last, call.Revision)
 			return
 		}
 		last = event.Revision
 	}
 	if call.Revision < call.After {
-		g.checker.report(RuleOrder, []*Call{call}, "a watch of %s goes back from %d to %d", g.name, call.After, call.Revision)
+		g.checker.report(RuleOrder, []*Call{call}, "a watch of group %s went back from revision %d to %d", g.name, call.After, call.Revision)
 	}
 }
 
@@ -52,7 +52,7 @@
 		}
 		isReported := slices.ContainsFunc(call.Events, func(event Event) bool { return event.Revision == revision })
 		if !isReported {
-			g.checker.report(ruleOf(call, RuleOrder), []*Call{g.byRevision[revision].observedBy, call}, "a watch of %s after %d up to %d skips %d",
+			g.checker.report(ruleOf(call, RuleOrder), []*Call{g.byRevision[revision].observedBy, call}, "a watch of group %s from revision %d to %d skipped revision %d",
 				g.name, call.After, call.Revision, revision)
 			return
 		}
@@ -65,7 +65,7 @@
 	for _, given := range g.calls {
 		isGiven := given.Kind == Watch && given.Outcome == OK && given.Caller == call.Caller && given.Revision == call.After
 		if isGiven && given.isBefore(call) && call.Answered-given.Answered < g.checker.options.Retention {
-			g.checker.report(RuleLost, []*Call{given, call}, "revision %d of group %s is not kept for %v", call.After, g.name, g.checker.options.Retention)
+			g.checker.report(RuleLost, []*Call{given, call}, "revision %d of group %s was not retained for %v", call.After, g.name, g.checker.options.Retention)
 			return
 		}
 	}
