--- a/internal/testkit/faultline/faultline.go
+++ b/internal/testkit/faultline/faultline.go
@@ -17,14 +17,14 @@
 
 // Bounds of a link.
 const (
-	maxStreams       = 512  // simultaneous connections; a further one is reset
-	maxDelayed       = 8192 // delayed datagrams that were not sent on yet; a further one is lost
-	maxDatagramBytes = 64 << 10
+	maxStreams       = 512      // simultaneous connections; a further one is reset
+	maxDelayed       = 8192     // delayed datagrams that were not sent on yet; a further one is lost
+	maxDatagramBytes = 64 << 10 // size of the receive buffer
 	chunkBytes       = 16 << 10 // greatest number of bytes of a stream that are forwarded at a time
 	dialTimeout      = 2 * time.Second
-	pollInterval     = 5 * time.Millisecond // interval of checks whether a Drop has ended
-	reorderFactor    = 3                    // additional delay of a reordered datagram in units of its delay
-	minReorderDelay  = 10 * time.Millisecond
+	pollInterval     = 5 * time.Millisecond  // interval of checks whether a Drop has ended
+	reorderFactor    = 3                     // additional delay of a reordered datagram in units of its delay
+	minReorderDelay  = 10 * time.Millisecond // least additional delay of a reordered datagram
 )
 
 // Fault describes the faults of one direction. The zero Fault forwards everything without delay.
