--- a/internal/testkit/faultline/network.go
+++ b/internal/testkit/faultline/network.go
@@ -35,15 +35,15 @@
 }
 
 // Open opens the link through which a machine calls a service of another one, and returns the link's address.
-func (n *Network) Open(way Direction, target string) (address string, err error) {
-	link, err := NewLink(way.From+" "+way.To, "127.0.0.1", target, n.seed)
+func (n *Network) Open(direction Direction, target string) (address string, err error) {
+	link, err := NewLink(direction.From+" "+direction.To, "127.0.0.1", target, n.seed)
 	if err != nil {
 		return "", err
 	}
 	link.Announce()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.links[way] = link
+	n.links[direction] = link
 	return link.Addr(), nil
 }
 
@@ -63,14 +63,14 @@
 
 // set configures each link with the combined effects of its two directions.
 func (n *Network) set() {
-	for way, link := range n.links {
-		link.Set(n.sum(way), n.sum(Direction{From: way.To, To: way.From}))
+	for direction, link := range n.links {
+		link.Set(n.sum(direction), n.sum(Direction{From: direction.To, To: direction.From}))
 	}
 }
 
-func (n *Network) sum(way Direction) (sum Fault) {
+func (n *Network) sum(direction Direction) (sum Fault) {
 	for each := range n.effects {
-		if !each.Covers(way) {
+		if !each.Covers(direction) {
 			continue
 		}
 		sum.Drop = sum.Drop || each.Fault.Drop
--- a/internal/testkit/faultline/network_test.go
+++ b/internal/testkit/faultline/network_test.go
@@ -19,7 +19,7 @@
 	short := &Dialer{Links: map[string]string{target: link}, Limit: 50 * time.Millisecond}
 	long := &Dialer{Links: short.Links, Limit: 10 * time.Second}
 	for _, cut := range []Direction{{"a", "b"}, {"b", "a"}} {
-		remove := network.Add(Effect{Covers: func(way Direction) bool { return way == cut }, Fault: Fault{Drop: true}})
+		remove := network.Add(Effect{Covers: func(direction Direction) bool { return direction == cut }, Fault: Fault{Drop: true}})
 		_, err = short.DialContext(t.Context(), "tcp", target)
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 		time.AfterFunc(20*time.Millisecond, remove)
@@ -48,7 +48,7 @@
 	all := func(Direction) bool { return true }
 	network.Add(Effect{Covers: all, Fault: Fault{Delay: time.Second, Rate: 10}})
 	remove := network.Add(Effect{Covers: all, Fault: Fault{Delay: time.Second, Rate: 5, Drop: true}})
-	network.Add(Effect{Covers: func(way Direction) bool { return way.From == "c" }, Fault: Fault{Rate: 1}})
+	network.Add(Effect{Covers: func(direction Direction) bool { return direction.From == "c" }, Fault: Fault{Rate: 1}})
 	require.Equal(t, Fault{Delay: 2 * time.Second, Rate: 5, Drop: true}, network.sum(Direction{"a", "b"}))
 	remove()
 	require.Equal(t, Fault{Delay: time.Second, Rate: 10}, network.sum(Direction{"a", "b"}))
--- a/internal/testkit/faultline/streams.go
+++ b/internal/testkit/faultline/streams.go
@@ -127,11 +127,11 @@
 }
 
 // pass forwards one direction of a stream. It forwards the end of the stream as a half-close and a reset as a reset.
-func (l *Link) pass(from, to *net.TCPConn, way func() Fault, r *rand.Rand) {
+func (l *Link) pass(from, to *net.TCPConn, currentFault func() Fault, r *rand.Rand) {
 	fault := func() Fault {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return way()
+		return currentFault()
 	}
 	b := make([]byte, chunkBytes)
 	for {
