--- a/internal/testkit/checker/checker.go
+++ b/internal/testkit/checker/checker.go
@@ -122,7 +122,7 @@
 	Requests, Served, Refused, Failed, Unanswered int
 	RanTwice, SingleTwice, KeyedTwice             int
 	Repeats                                       int // duplicates that nodes recognised by their key
-	Strikes                                       int
+	Strikes                                       int // starts and ends of faults
 	Hit                                           int // requests that were in progress when a fault started or ended
 }
 
