--- a/internal/testkit/history/groups.go
+++ b/internal/testkit/history/groups.go
@@ -1,21 +1,22 @@
 package history
 
-// A put may be sent several times; together these are one write, which has its effect once at most.
+// write is one logical write. Its put may be sent several times; all attempts together take effect at most once.
 type write struct {
 	key, value string
 	attempts   []*Call
-	// shown is what told of the write; nil: nothing did.
-	shown    *Call
-	revision uint64
+	// observedBy is the earliest answer that showed the write; nil: no answer did.
+	observedBy *Call
+	revision   uint64
 }
 
 type writeName struct{ key, value string }
 
-// sent is the first attempt.
+// first returns the first attempt.
 func (w *write) first() *Call { return w.attempts[0] }
 
-// rejection is the answer that says that the write has not happened and never will; nil: there is none. Another attempt
-// without a clear answer may have succeeded where one was refused, but not where one found another revision.
+// rejection returns the answer that shows that the write has not taken effect and never will; nil: there is none. If one
+// attempt was refused, another one without a clear answer may still have succeeded; if one attempt found another revision,
+// none can have succeeded.
 func (w *write) rejection() *Call {
 	var refused *Call
 	isOpen := false
@@ -45,7 +46,7 @@
 	byRevision map[uint64]*write
 }
 
-// checkGroups judges puts, reads and watches.
+// checkGroups checks the puts, reads and watches of each group of keys.
 func (c *checker) checkGroups(calls []*Call) {
 	names, parts := partition(calls, func(call *Call) string {
 		if call.Kind == Watch {
@@ -67,7 +68,7 @@
 
 func (g *group) check() {
 	g.collectWrites()
-	g.collectShown()
+	g.collectObserved()
 	g.checkWrites()
 	g.checkConditions()
 	g.checkReads()
@@ -88,52 +89,52 @@
 	}
 }
 
-// collectShown takes what answers tell of writes: each value was put to that key, before, and has one revision, which is no
-// other one's.
-func (g *group) collectShown() {
+// collectObserved records which writes the answers show. It requires that each observed value was put to its key before it
+// was observed, and that it has a single revision that no other write has.
+func (g *group) collectObserved() {
 	for _, call := range g.calls {
 		switch {
 		case call.Outcome != OK:
 		case call.Kind == Put || call.Kind == Read:
-			g.show(call, Event{Key: call.Name, Value: call.Value, Revision: call.Revision})
+			g.observe(call, Event{Key: call.Name, Value: call.Value, Revision: call.Revision})
 		case call.Kind == Watch:
 			for _, event := range call.Events {
-				g.show(call, event)
+				g.observe(call, event)
 			}
 		}
 	}
 }
 
-func (g *group) show(by *Call, event Event) {
-	shown := g.writes[writeName{event.Key, event.Value}]
-	if shown == nil {
-		g.checker.report(RuleMixed, []*Call{by}, "value %q of %s was never put", event.Value, event.Key)
+func (g *group) observe(by *Call, event Event) {
+	observed := g.writes[writeName{event.Key, event.Value}]
+	if observed == nil {
+		g.checker.report(RuleMixed, []*Call{by}, "value %q of key %s was observed but never put", event.Value, event.Key)
 		return
 	}
-	if by.Answered < shown.first().Sent {
-		g.checker.report(RuleMixed, []*Call{shown.first(), by}, "value %q of %s is shown before it was put", event.Value, event.Key)
+	if by.Answered < observed.first().Sent {
+		g.checker.report(RuleMixed, []*Call{observed.first(), by}, "value %q of key %s was observed before it was put", event.Value, event.Key)
 	}
-	if rejection := shown.rejection(); rejection != nil {
-		g.checker.report(RuleRefused, []*Call{rejection, by}, "value %q of %s is shown though its put was rejected", event.Value, event.Key)
+	if rejection := observed.rejection(); rejection != nil {
+		g.checker.report(RuleRefused, []*Call{rejection, by}, "value %q of key %s was observed although its put was rejected", event.Value, event.Key)
 	}
-	if shown.shown != nil && shown.revision != event.Revision {
-		g.checker.report(RuleMixed, []*Call{shown.shown, by}, "value %q of %s has the revisions %d and %d",
-			event.Value, event.Key, shown.revision, event.Revision)
+	if observed.observedBy != nil && observed.revision != event.Revision {
+		g.checker.report(RuleMixed, []*Call{observed.observedBy, by}, "value %q of key %s was observed with two revisions, %d and %d",
+			event.Value, event.Key, observed.revision, event.Revision)
 		return
 	}
-	if other := g.byRevision[event.Revision]; other != nil && other != shown {
-		g.checker.report(RuleOrder, []*Call{other.shown, by}, "revision %d of group %s is given twice", event.Revision, g.name)
+	if other := g.byRevision[event.Revision]; other != nil && other != observed {
+		g.checker.report(RuleOrder, []*Call{other.observedBy, by}, "revision %d of group %s was assigned to two writes", event.Revision, g.name)
 		return
 	}
-	if shown.shown == nil || by.Answered < shown.shown.Answered {
-		shown.shown = by
+	if observed.observedBy == nil || by.Answered < observed.observedBy.Answered {
+		observed.observedBy = by
 	}
-	shown.revision = event.Revision
-	g.byRevision[event.Revision] = shown
+	observed.revision = event.Revision
+	g.byRevision[event.Revision] = observed
 }
 
-// shownRevision is the highest revision of the group that an answer shows.
-func shownRevision(call *Call) uint64 {
+// observedRevision returns the highest revision of the group that an answer shows; 0: none.
+func observedRevision(call *Call) uint64 {
 	switch call.Outcome {
 	case OK, Mismatch:
 		return call.Revision
@@ -142,47 +143,48 @@
 	}
 }
 
-// checkWrites requires that the revision of a write is above all that were shown before it was sent first.
+// checkWrites requires that the revision of a write is above all revisions that were observed before its first attempt.
 func (g *group) checkWrites() {
-	earlier := newHighest(g.calls, shownRevision)
+	earlier := newHighest(g.calls, observedRevision)
 	for _, name := range g.names {
 		wrote := g.writes[name]
-		if wrote.shown == nil {
+		if wrote.observedBy == nil {
 			continue
 		}
 		before := earlier.before(wrote.first())
-		if before != nil && wrote.revision <= shownRevision(before) {
-			g.checker.report(RuleOrder, []*Call{before, wrote.first(), wrote.shown},
-				"revision %d of group %s is not above %d, which was shown before the put was sent", wrote.revision, g.name, shownRevision(before))
+		if before != nil && wrote.revision <= observedRevision(before) {
+			g.checker.report(RuleOrder, []*Call{before, wrote.first(), wrote.observedBy},
+				"revision %d of group %s is not above %d, which was observed before the put was sent", wrote.revision, g.name, observedRevision(before))
 		}
 	}
 }
 
-// checkConditions requires that a conditional put that succeeded followed the revision that it expected.
+// checkConditions requires that a successful conditional put directly followed the expected revision of its key.
 func (g *group) checkConditions() {
 	for _, name := range g.names {
 		wrote := g.writes[name]
-		if wrote.shown == nil || wrote.first().Expected == nil {
+		if wrote.observedBy == nil || wrote.first().Expected == nil {
 			continue
 		}
 		expected := *wrote.first().Expected
 		if replaced := g.byRevision[expected]; replaced != nil && replaced.key != wrote.key {
-			g.checker.report(RuleOrder, []*Call{replaced.shown, wrote.first(), wrote.shown},
-				"a put to %s succeeded over revision %d, which is of %s", wrote.key, expected, replaced.key)
+			g.checker.report(RuleOrder, []*Call{replaced.observedBy, wrote.first(), wrote.observedBy},
+				"a put to key %s succeeded with expected revision %d, which belongs to key %s", wrote.key, expected, replaced.key)
 		}
 		for _, otherName := range g.names {
 			other := g.writes[otherName]
-			isBetween := other.shown != nil && other.key == wrote.key && expected < other.revision && other.revision < wrote.revision
+			isBetween := other.observedBy != nil && other.key == wrote.key && expected < other.revision && other.revision < wrote.revision
 			if isBetween {
-				g.checker.report(RuleOrder, []*Call{other.shown, wrote.first(), wrote.shown},
-					"a put to %s over revision %d succeeded as %d over %d", wrote.key, expected, wrote.revision, other.revision)
+				g.checker.report(RuleOrder, []*Call{other.observedBy, wrote.first(), wrote.observedBy},
+					"a put to key %s with expected revision %d succeeded with revision %d, although revision %d of the key lies between", wrote.key, expected, wrote.revision, other.revision)
 				break
 			}
 		}
 	}
 }
 
-// checkReads requires that an answer about a key is not older than what was shown of it before the call was sent.
+// checkReads requires that an answer about a key is not older than any revision of the key that was observed before the call
+// was sent.
 func (g *group) checkReads() {
 	ofKeys := make([]*Call, 0, len(g.calls))
 	for _, call := range g.calls {
@@ -192,15 +194,15 @@
 	}
 	keys, parts := partition(ofKeys, nameOf)
 	for _, key := range keys {
-		earlier := newHighest(parts[key], shownRevision)
+		earlier := newHighest(parts[key], observedRevision)
 		for _, call := range parts[key] {
 			isAnswer := call.Outcome == Mismatch || call.Kind == Read && (call.Outcome == OK || call.Outcome == NotFound)
 			if !isAnswer {
 				continue
 			}
-			if before := earlier.before(call); before != nil && shownRevision(call) < shownRevision(before) {
-				g.checker.report(ruleOf(call, RuleStale), []*Call{before, call}, "revision %d of %s is below %d, which was shown before the call was sent",
-					shownRevision(call), key, shownRevision(before))
+			if before := earlier.before(call); before != nil && observedRevision(call) < observedRevision(before) {
+				g.checker.report(ruleOf(call, RuleStale), []*Call{before, call}, "revision %d of key %s is below %d, which was observed before the call was sent",
+					observedRevision(call), key, observedRevision(before))
 			}
 			if call.Outcome == Mismatch {
 				g.checkMismatch(call)
@@ -209,10 +211,10 @@
 	}
 }
 
-// checkMismatch requires that a rejected condition names a revision of the key, and another one than was expected.
+// checkMismatch requires that the rejection of a conditional put names a revision of the key other than the expected one.
 func (g *group) checkMismatch(call *Call) {
 	if call.Expected != nil && *call.Expected == call.Revision {
-		g.checker.report(RuleRefused, []*Call{call}, "a put to %s is rejected for the revision that it expected", call.Name)
+		g.checker.report(RuleRefused, []*Call{call}, "a put to key %s was rejected although the reported revision is the expected one", call.Name)
 	}
 	if call.Revision == 0 {
 		return
@@ -220,17 +222,17 @@
 	named := g.byRevision[call.Revision]
 	switch {
 	case named != nil && named.key != call.Name:
-		g.checker.report(RuleMixed, []*Call{named.shown, call}, "revision %d is not of %s but of %s", call.Revision, call.Name, named.key)
+		g.checker.report(RuleMixed, []*Call{named.observedBy, call}, "revision %d was reported for key %s but belongs to key %s", call.Revision, call.Name, named.key)
 	case named == nil && !g.mayHaveRevision(call.Name):
-		g.checker.report(RuleMixed, []*Call{call}, "no put gave %s the revision %d", call.Name, call.Revision)
+		g.checker.report(RuleMixed, []*Call{call}, "no put can have given key %s the reported revision %d", call.Name, call.Revision)
 	}
 }
 
-// mayHaveRevision reports whether there is a put to a key whose revision nobody was shown, if it has one.
+// mayHaveRevision reports whether there is a put to a key that may have taken effect with a revision that no answer showed.
 func (g *group) mayHaveRevision(key string) bool {
 	for _, name := range g.names {
 		wrote := g.writes[name]
-		if wrote.key == key && wrote.shown == nil && wrote.rejection() == nil {
+		if wrote.key == key && wrote.observedBy == nil && wrote.rejection() == nil {
 			return true
 		}
 	}
