--- a/internal/testkit/faultline/network.go
+++ b/internal/testkit/faultline/network.go
@@ -9,12 +9,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Direction is one direction between two machines, given by their names.
-type Direction struct{ From, To string }
+// Way is one direction between two machines, given by their names.
+type Way struct{ From, To string }
 
 // Effect is a fault in the directions of a network for which Covers returns true.
 type Effect struct {
-	Covers func(Direction) bool
+	Covers func(Way) bool
 	Fault  Fault
 }
 
@@ -25,17 +25,17 @@
 	seed uint64
 
 	mutex   sync.Mutex
-	links   map[Direction]*Link // links by caller and callee
+	links   map[Way]*Link // links by caller and callee
 	effects map[*Effect]bool
 }
 
 // NewNetwork returns a network without links.
 func NewNetwork(seed uint64) *Network {
-	return &Network{seed: seed, links: make(map[Direction]*Link), effects: make(map[*Effect]bool)}
+	return &Network{seed: seed, links: make(map[Way]*Link), effects: make(map[*Effect]bool)}
 }
 
 // Open opens the link through which a machine calls a service of another one, and returns the link's address.
-func (n *Network) Open(direction Direction, target string) (address string, err error) {
+func (n *Network) Open(direction Way, target string) (address string, err error) {
 	link, err := NewLink(direction.From+" "+direction.To, "127.0.0.1", target, n.seed)
 	if err != nil {
 		return "", err
@@ -64,11 +64,11 @@
 // set configures each link with the combined effects of its two directions.
 func (n *Network) set() {
 	for direction, link := range n.links {
-		link.Set(n.sum(direction), n.sum(Direction{From: direction.To, To: direction.From}))
+		link.Set(n.sum(direction), n.sum(Way{From: direction.To, To: direction.From}))
 	}
 }
 
-func (n *Network) sum(direction Direction) (sum Fault) {
+func (n *Network) sum(direction Way) (sum Fault) {
 	for each := range n.effects {
 		if !each.Covers(direction) {
 			continue
--- a/internal/testkit/faultline/network_test.go
+++ b/internal/testkit/faultline/network_test.go
@@ -14,12 +14,12 @@
 	target, _ := peer(t)
 	network := NewNetwork(1)
 	defer network.Close()
-	link, err := network.Open(Direction{"a", "b"}, target)
+	link, err := network.Open(Way{"a", "b"}, target)
 	require.NoError(t, err)
 	short := &Dialer{Links: map[string]string{target: link}, Limit: 50 * time.Millisecond}
 	long := &Dialer{Links: short.Links, Limit: 10 * time.Second}
-	for _, cut := range []Direction{{"a", "b"}, {"b", "a"}} {
-		remove := network.Add(Effect{Covers: func(direction Direction) bool { return direction == cut }, Fault: Fault{Drop: true}})
+	for _, cut := range []Way{{"a", "b"}, {"b", "a"}} {
+		remove := network.Add(Effect{Covers: func(direction Way) bool { return direction == cut }, Fault: Fault{Drop: true}})
 		_, err = short.DialContext(t.Context(), "tcp", target)
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 		time.AfterFunc(20*time.Millisecond, remove)
@@ -36,7 +36,7 @@
 	require.NoError(t, listener.Close())
 	network := NewNetwork(1)
 	defer network.Close()
-	link, err := network.Open(Direction{"a", "b"}, target)
+	link, err := network.Open(Way{"a", "b"}, target)
 	require.NoError(t, err)
 	dialer := &Dialer{Links: map[string]string{target: link}, Limit: 10 * time.Second}
 	_, err = dialer.DialContext(t.Context(), "tcp", target)
@@ -45,13 +45,13 @@
 
 func TestEffectsOnAWayAddUp(t *testing.T) {
 	network := NewNetwork(1)
-	all := func(Direction) bool { return true }
+	all := func(Way) bool { return true }
 	network.Add(Effect{Covers: all, Fault: Fault{Delay: time.Second, Rate: 10}})
 	remove := network.Add(Effect{Covers: all, Fault: Fault{Delay: time.Second, Rate: 5, Drop: true}})
-	network.Add(Effect{Covers: func(direction Direction) bool { return direction.From == "c" }, Fault: Fault{Rate: 1}})
-	require.Equal(t, Fault{Delay: 2 * time.Second, Rate: 5, Drop: true}, network.sum(Direction{"a", "b"}))
+	network.Add(Effect{Covers: func(direction Way) bool { return direction.From == "c" }, Fault: Fault{Rate: 1}})
+	require.Equal(t, Fault{Delay: 2 * time.Second, Rate: 5, Drop: true}, network.sum(Way{"a", "b"}))
 	remove()
-	require.Equal(t, Fault{Delay: time.Second, Rate: 10}, network.sum(Direction{"a", "b"}))
+	require.Equal(t, Fault{Delay: time.Second, Rate: 10}, network.sum(Way{"a", "b"}))
 }
 
 // A caller that waits for the announcement does not receive it while a direction drops, as if the TCP handshake did not
--- a/internal/testkit/soak/links_test.go
+++ b/internal/testkit/soak/links_test.go
@@ -49,7 +49,7 @@
 			if to.QuorumMember {
 				target = to.Port(controlPort)
 			}
-			link, err := network.Open(faultline.Direction{From: from.Hostname, To: to.Hostname}, target)
+			link, err := network.Open(faultline.Way{From: from.Hostname, To: to.Hostname}, target)
 			if err != nil {
 				return errors.Wrap(err, "open a link")
 			}
--- a/internal/testkit/soak/trouble_test.go
+++ b/internal/testkit/soak/trouble_test.go
@@ -42,9 +42,9 @@
 	name        string
 	core        extent
 	does        deed
-	afterAnswer bool                                           // it waits for the next acknowledgement of a call
-	spares      role                                           // a process of the machine that it leaves alone
-	covers      func(on *struck, way faultline.Direction) bool // the ways that it cuts, slows or delays
+	afterAnswer bool                                     // it waits for the next acknowledgement of a call
+	spares      role                                     // a process of the machine that it leaves alone
+	covers      func(on *struck, way faultline.Way) bool // the ways that it cuts, slows or delays
 }
 
 // kinds are all kinds of troubles.
@@ -93,31 +93,23 @@
 	return slices.Concat(kinds, slices.Repeat(callKinds, callKindsWeight))
 }
 
-func ofEdge(on *struck, way faultline.Direction) bool      { return touches(way, on.edge) }
-func edgeAndCore(on *struck, way faultline.Direction) bool { return ofEdge(on, way) && !inEdge(way) }
-func coreToEdge(on *struck, way faultline.Direction) bool {
-	return isControl(way.From) && way.To == on.edge
+func ofEdge(on *struck, way faultline.Way) bool         { return touches(way, on.edge) }
+func edgeAndCore(on *struck, way faultline.Way) bool    { return ofEdge(on, way) && !inEdge(way) }
+func coreToEdge(on *struck, way faultline.Way) bool     { return isControl(way.From) && way.To == on.edge }
+func edgeAndControl(on *struck, way faultline.Way) bool { return ofEdge(on, way) && ofControl(on, way) }
+func ofControl(on *struck, way faultline.Way) bool      { return touches(way, on.control) }
+func controlInCore(on *struck, way faultline.Way) bool  { return inCore(way) && ofControl(on, way) }
+func controlToOther(on *struck, way faultline.Way) bool {
+	return way == faultline.Way{From: on.control, To: on.other}
 }
-func edgeAndControl(on *struck, way faultline.Direction) bool {
-	return ofEdge(on, way) && ofControl(on, way)
-}
-func ofControl(on *struck, way faultline.Direction) bool { return touches(way, on.control) }
-func controlInCore(on *struck, way faultline.Direction) bool {
-	return inCore(way) && ofControl(on, way)
-}
-func controlToOther(on *struck, way faultline.Direction) bool {
-	return way == faultline.Direction{From: on.control, To: on.other}
-}
-func betweenHalves(on *struck, way faultline.Direction) bool {
+func betweenHalves(on *struck, way faultline.Way) bool {
 	return inCore(way) && slices.Contains(on.core, way.From) != slices.Contains(on.core, way.To)
 }
 
-func touches(way faultline.Direction, machine string) bool {
-	return way.From == machine || way.To == machine
-}
-func inCore(way faultline.Direction) bool { return isControl(way.From) && isControl(way.To) }
-func inEdge(way faultline.Direction) bool { return !isControl(way.From) && !isControl(way.To) }
-func isControl(name string) bool          { return strings.HasPrefix(name, "control-") }
+func touches(way faultline.Way, machine string) bool { return way.From == machine || way.To == machine }
+func inCore(way faultline.Way) bool                  { return isControl(way.From) && isControl(way.To) }
+func inEdge(way faultline.Way) bool                  { return !isControl(way.From) && !isControl(way.To) }
+func isControl(name string) bool                     { return strings.HasPrefix(name, "control-") }
 
 // struck are the names of the machines that a trouble was drawn for, and those of the core that count as lost.
 type struck struct {
--- a/internal/testkit/soak/villain_test.go
+++ b/internal/testkit/soak/villain_test.go
@@ -43,7 +43,7 @@
 	on, own := next.strikes(v.world.plan)
 	if next.kind.covers != nil {
 		v.noted(own, func() {
-			covers := func(way faultline.Direction) bool { return next.kind.covers(on, way) }
+			covers := func(way faultline.Way) bool { return next.kind.covers(on, way) }
 			remove := v.world.network.Add(faultline.Effect{Covers: covers, Fault: next.fault})
 			v.world.wait(ctx, next.lasts)
 			remove()
