--- a/internal/tools/compare/compare_test.go
+++ b/internal/tools/compare/compare_test.go
@@ -32,10 +32,10 @@
 }
 
 // playsOf gives plays of one variant on days "a" and "b" with seeds 1 and 2.
-func playsOf(of *variant, worths ...float64) []play {
+func playsOf(of *variant, scores ...float64) []play {
 	var plays []play
-	for i, worth := range worths {
-		plays = append(plays, play{variant: of, pairing: pairing{[]string{"a", "b"}[i/2], uint64(i%2 + 1)}, worth: worth})
+	for i, score := range scores {
+		plays = append(plays, play{variant: of, pairing: pairing{[]string{"a", "b"}[i/2], uint64(i%2 + 1)}, score: score})
 	}
 	return plays
 }
@@ -47,20 +47,20 @@
 	require.Len(t, rows, 1)
 	require.Equal(t, 3, rows[0].pairs, "a play without a partner does not count")
 	require.InDelta(t, -0.1, rows[0].mean, 1e-9)
-	require.True(t, rows[0].shown())
+	require.True(t, rows[0].significant())
 }
 
 func TestADifferenceWithinTheSpreadIsNotShown(t *testing.T) {
 	all, less := &variant{name: "all"}, &variant{name: "less"}
 	plays := append(playsOf(all, 0.5, 0.5, 0.5, 0.5), playsOf(less, 0.4, 0.6, 0.45, 0.53)...)
 	rows := compareWithFirst([]*variant{all, less}, plays)
-	require.False(t, rows[0].shown())
+	require.False(t, rows[0].significant())
 	require.Contains(t, tableOf(rows), "nothing shown")
 }
 
 func TestOnePairShowsNothing(t *testing.T) {
-	require.False(t, row{pairs: 1, mean: 1}.shown())
-	require.False(t, row{pairs: 9}.shown(), "nor do plays that agree to the last digit")
+	require.False(t, row{pairs: 1, mean: 1}.significant())
+	require.False(t, row{pairs: 9}.significant(), "nor do plays that agree to the last digit")
 }
 
 func TestBrokenRulesAreNamedInTheTable(t *testing.T) {
@@ -68,16 +68,16 @@
 }
 
 func TestMeanAndSpread(t *testing.T) {
-	mean, spread := meanAndSpread([]float64{1, 2, 3})
+	mean, stdDev := meanAndStdDev([]float64{1, 2, 3})
 	require.InDelta(t, 2, mean, 1e-9)
-	require.InDelta(t, 1, spread, 1e-9)
-	mean, spread = meanAndSpread(nil)
+	require.InDelta(t, 1, stdDev, 1e-9)
+	mean, stdDev = meanAndStdDev(nil)
 	require.Zero(t, mean)
-	require.False(t, math.IsNaN(spread))
+	require.False(t, math.IsNaN(stdDev))
 }
 
 func TestThePlotHoldsEveryVariant(t *testing.T) {
-	plot := plotOf([]row{{name: "spill", mean: -0.01, pairs: 4, spread: 0.002}, {name: "walk"}})
+	plot := plotOf([]row{{name: "spill", mean: -0.01, pairs: 4, stdDev: 0.002}, {name: "walk"}})
 	require.Contains(t, plot, ">spill<")
 	require.Contains(t, plot, ">walk<")
 }
--- a/internal/tools/compare/play.go
+++ b/internal/tools/compare/play.go
@@ -22,13 +22,13 @@
 type play struct {
 	variant *variant
 	pairing
-	worth  float64
+	score  float64
 	broken []string // names of broken rules
 }
 
 // report is what is read of the bench's report.
 type report struct {
-	Worth  float64        `json:"G"`
+	Score  float64        `json:"G"`
 	Broken map[string]any `json:"breaks"`
 }
 
@@ -38,20 +38,20 @@
 		return nil, err
 	}
 	var done results
-	var waiting sync.WaitGroup
+	var running sync.WaitGroup
 	slots := make(chan struct{}, given.Jobs)
 	for _, day := range given.Day {
 		for _, seed := range given.Seed {
 			for _, one := range variants {
 				slots <- struct{}{}
-				waiting.Go(func() {
+				running.Go(func() {
 					defer func() { <-slots }()
 					done.add(playOne(given, one, pairing{day, seed}))
 				})
 			}
 		}
 	}
-	waiting.Wait()
+	running.Wait()
 	for _, one := range variants {
 		if err := copyJournal(one.folder, given.Journal); err != nil {
 			done.failures = append(done.failures, err)
@@ -115,13 +115,13 @@
 	printed, playError := playing.CombinedOutput()
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return play{}, fmt.Errorf("%s on %s, seed %d: %w: %s", one.name, what.day, what.seed, errors.Join(playError, err), lastLines(printed))
+		return play{}, fmt.Errorf("%s on %s, seed %d: %w: %s", one.name, what.day, what.seed, errors.Join(playError, err), outputTail(printed))
 	}
 	var told report
 	if err := json.Unmarshal(data, &told); err != nil {
 		return play{}, fmt.Errorf("%s: %w", file, err)
 	}
-	done := play{variant: one, pairing: what, worth: told.Worth}
+	done := play{variant: one, pairing: what, score: told.Score}
 	for rule := range told.Broken {
 		done.broken = append(done.broken, rule)
 	}
--- a/internal/tools/compare/rows.go
+++ b/internal/tools/compare/rows.go
@@ -12,28 +12,28 @@
 	name   string
 	pairs  int
 	mean   float64 // of the differences in worth: below 0, the variant earns less
-	spread float64 // standard deviation of the differences
+	stdDev float64 // standard deviation of the differences
 	broken []string
 }
 
-// shownFrom is the number of standard errors from which on a difference counts as shown: three, since a table holds
+// significanceThreshold is the number of standard errors from which on a difference counts as shown: three, since a table holds
 // some twenty comparisons with the same plays of the first variant.
-const shownFrom = 3
+const significanceThreshold = 3
 
-// shown tells whether the difference is more than chance.
-func (r row) shown() bool {
-	return r.pairs > 1 && r.mean != 0 && math.Abs(r.mean) >= shownFrom*r.standardError()
+// significant tells whether the difference is more than chance.
+func (r row) significant() bool {
+	return r.pairs > 1 && r.mean != 0 && math.Abs(r.mean) >= significanceThreshold*r.standardError()
 }
 
 // standardError is that of the mean difference.
-func (r row) standardError() float64 { return r.spread / math.Sqrt(float64(r.pairs)) }
+func (r row) standardError() float64 { return r.stdDev / math.Sqrt(float64(r.pairs)) }
 
 // compareWithFirst pairs the plays of each variant with those of the first by day and seed.
 func compareWithFirst(variants []*variant, plays []play) []row {
 	base := map[pairing]float64{}
 	for _, one := range plays {
 		if one.variant == variants[0] {
-			base[one.pairing] = one.worth
+			base[one.pairing] = one.score
 		}
 	}
 	var rows []row
@@ -45,12 +45,12 @@
 				continue
 			}
 			made.broken = append(made.broken, played.broken...)
-			if worth, paired := base[played.pairing]; paired {
-				differences = append(differences, played.worth-worth)
+			if score, paired := base[played.pairing]; paired {
+				differences = append(differences, played.score-score)
 			}
 		}
 		made.pairs = len(differences)
-		made.mean, made.spread = meanAndSpread(differences)
+		made.mean, made.stdDev = meanAndStdDev(differences)
 		slices.Sort(made.broken)
 		made.broken = slices.Compact(made.broken)
 		rows = append(rows, made)
@@ -58,8 +58,8 @@
 	return rows
 }
 
-// meanAndSpread gives the mean and the standard deviation of a sample.
-func meanAndSpread(values []float64) (mean, spread float64) {
+// meanAndStdDev gives the mean and the standard deviation of a sample.
+func meanAndStdDev(values []float64) (mean, stdDev float64) {
 	if len(values) == 0 {
 		return 0, 0
 	}
@@ -70,9 +70,9 @@
 		return mean, 0
 	}
 	for _, value := range values {
-		spread += (value - mean) * (value - mean) / float64(len(values)-1)
+		stdDev += (value - mean) * (value - mean) / float64(len(values)-1)
 	}
-	return mean, math.Sqrt(spread)
+	return mean, math.Sqrt(stdDev)
 }
 
 // tableOf writes rows as a Markdown table.
@@ -81,13 +81,13 @@
 	text.WriteString("| variant | difference in worth | spread | pairs | |\n| --- | --- | --- | --- | --- |\n")
 	for _, r := range rows {
 		verdict := "nothing shown"
-		if r.shown() {
+		if r.significant() {
 			verdict = "shown"
 		}
 		if len(r.broken) > 0 {
 			verdict += "; broken: " + strings.Join(r.broken, ", ")
 		}
-		fmt.Fprintf(&text, "| %s | %+.4f | %.4f | %d | %s |\n", r.name, r.mean, r.spread, r.pairs, verdict)
+		fmt.Fprintf(&text, "| %s | %+.4f | %.4f | %d | %s |\n", r.name, r.mean, r.stdDev, r.pairs, verdict)
 	}
 	return text.String()
 }
@@ -104,18 +104,18 @@
 func plotOf(rows []row) string {
 	reach := 0.001
 	for _, r := range rows {
-		reach = max(reach, math.Abs(r.mean)+shownFrom*r.standardError())
+		reach = max(reach, math.Abs(r.mean)+significanceThreshold*r.standardError())
 	}
 	half := float64(plotWidth-plotLabels-plotPadding) / 2
 	middle := plotLabels + half
-	at := func(worth float64) float64 { return middle + worth/reach*half }
+	at := func(difference float64) float64 { return middle + difference/reach*half }
 	height := len(rows)*plotRow + 2*plotPadding
 	var text strings.Builder
 	fmt.Fprintf(&text, `<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="12">`+"\n", plotWidth, height)
 	fmt.Fprintf(&text, `<line x1="%.1f" y1="0" x2="%.1f" y2="%d" stroke="grey"/>`+"\n", middle, middle, height-plotPadding)
 	for i, r := range rows {
 		y := plotPadding + i*plotRow
-		margin := shownFrom * r.standardError()
+		margin := significanceThreshold * r.standardError()
 		fmt.Fprintf(&text, `<text x="4" y="%d">%s</text><line x1="%.1f" y1="%d" x2="%.1f" y2="%d" stroke="black"/><circle cx="%.1f" cy="%d" r="4"/>`+"\n",
 			y+4, r.name, at(r.mean-margin), y, at(r.mean+margin), y, at(r.mean), y)
 	}
--- a/internal/tools/compare/variant.go
+++ b/internal/tools/compare/variant.go
@@ -86,17 +86,17 @@
 	running.Dir = folder
 	printed, err := running.CombinedOutput()
 	if err != nil {
-		return fmt.Errorf("%s %s: %w: %s", program, strings.Join(arguments, " "), err, lastLines(printed))
+		return fmt.Errorf("%s %s: %w: %s", program, strings.Join(arguments, " "), err, outputTail(printed))
 	}
 	return nil
 }
 
-// lastBytes is how much of a program's output an error holds.
-const lastBytes = 400
+// maxOutputTail is how much of a program's output an error holds.
+const maxOutputTail = 400
 
-func lastLines(printed []byte) string {
-	if len(printed) > lastBytes {
-		printed = printed[len(printed)-lastBytes:]
+func outputTail(printed []byte) string {
+	if len(printed) > maxOutputTail {
+		printed = printed[len(printed)-maxOutputTail:]
 	}
 	return strings.TrimSpace(string(printed))
 }
