--- a/internal/tools/compare/compare_test.go
+++ b/internal/tools/compare/compare_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// playsOf gives plays of one variant on days "a" and "b" with seeds 1 and 2.
+// playsOf returns plays of one variant on days "a" and "b" with seeds 1 and 2.
 func playsOf(of *variant, scores ...float64) []play {
 	var plays []play
 	for i, score := range scores {
@@ -45,7 +45,7 @@
 	plays := append(playsOf(all, 0.5, 0.6, 0.7, 0.8), playsOf(less, 0.4, 0.5, 0.6)...)
 	rows := compareWithFirst([]*variant{all, less}, plays)
 	require.Len(t, rows, 1)
-	require.Equal(t, 3, rows[0].pairs, "a play without a partner does not count")
+	require.Equal(t, 3, rows[0].pairs, "a play without a counterpart is ignored")
 	require.InDelta(t, -0.1, rows[0].mean, 1e-9)
 	require.True(t, rows[0].significant())
 }
@@ -55,12 +55,12 @@
 	plays := append(playsOf(all, 0.5, 0.5, 0.5, 0.5), playsOf(less, 0.4, 0.6, 0.45, 0.53)...)
 	rows := compareWithFirst([]*variant{all, less}, plays)
 	require.False(t, rows[0].significant())
-	require.Contains(t, tableOf(rows), "nothing shown")
+	require.Contains(t, tableOf(rows), "| not significant |")
 }
 
 func TestOnePairShowsNothing(t *testing.T) {
 	require.False(t, row{pairs: 1, mean: 1}.significant())
-	require.False(t, row{pairs: 9}.significant(), "nor do plays that agree to the last digit")
+	require.False(t, row{pairs: 9}.significant(), "identical scores are not a significant difference")
 }
 
 func TestBrokenRulesAreNamedInTheTable(t *testing.T) {
--- a/internal/tools/compare/play.go
+++ b/internal/tools/compare/play.go
@@ -12,27 +12,28 @@
 	"sync"
 )
 
-// pairing is what plays of two variants have in common.
+// pairing identifies the plays of different variants that are compared with each other.
 type pairing struct {
 	day  string
 	seed uint64
 }
 
-// play is the result of one day.
+// play is the result of one run of a day with one variant.
 type play struct {
 	variant *variant
 	pairing
 	score  float64
-	broken []string // names of broken rules
+	broken []string // names of violated rules
 }
 
-// report is what is read of the bench's report.
+// report contains the fields that are read from the bench's JSON report.
 type report struct {
 	Score  float64        `json:"G"`
 	Broken map[string]any `json:"breaks"`
 }
 
-// playAll plays every day on every seed with every variant.
+// playAll runs every day with every seed and every variant. Failed runs are printed; playAll returns an error only if
+// a variant could not be built or all runs failed.
 func playAll(given *options, variants []*variant) ([]play, error) {
 	if err := buildAll(given, variants); err != nil {
 		return nil, err
@@ -66,7 +67,7 @@
 	return done.plays, nil
 }
 
-// buildAll makes a clone of each variant and builds it.
+// buildAll clones and builds each variant.
 func buildAll(given *options, variants []*variant) error {
 	if err := os.MkdirAll(given.Work, 0o755); err != nil {
 		return err
@@ -82,7 +83,8 @@
 	return nil
 }
 
-// results collects what came of plays. It is safe for concurrent use until all plays have ended.
+// results collects plays and errors. Its method add is safe for concurrent use; the fields may be read directly only
+// after all plays have ended.
 type results struct {
 	mu       sync.Mutex
 	plays    []play
@@ -99,7 +101,8 @@
 	r.plays = append(r.plays, done)
 }
 
-// playOne plays one day. The bench ends with an error where a rule was broken; the report is there all the same.
+// playOne runs one day with one variant. The bench exits with an error if a rule was violated, but still writes the
+// report, so its exit status counts only if the report is missing.
 func playOne(given *options, one *variant, what pairing) (play, error) {
 	file := filepath.Join(given.Work, fmt.Sprintf("%s-%s-%d.json", one.name, filepath.Base(what.day), what.seed))
 	why := fmt.Sprintf("%s (%s; off: %s)", given.Why, one.name, strings.Join(one.off, ","))
@@ -128,7 +131,8 @@
 	return done, nil
 }
 
-// copyJournal copies the entries that a clone has beyond those it was made with.
+// copyJournal copies the journal entries that runs added or changed in a clone (those that git status lists) to the
+// journal folder. It does nothing if the folder is empty.
 func copyJournal(clone, journal string) error {
 	if journal == "" {
 		return nil
--- a/internal/tools/compare/rows.go
+++ b/internal/tools/compare/rows.go
@@ -7,25 +7,26 @@
 	"strings"
 )
 
-// row is what a variant is worth against the first one.
+// row compares the scores of a variant with those of the first variant.
 type row struct {
 	name   string
 	pairs  int
-	mean   float64 // of the differences in worth: below 0, the variant earns less
-	stdDev float64 // standard deviation of the differences
+	mean   float64 // mean score difference; negative: the variant scores lower
+	stdDev float64 // standard deviation of the score differences
 	broken []string
 }
 
-// significanceThreshold is the number of standard errors from which on a difference counts as shown: three, since a table holds
-// some twenty comparisons with the same plays of the first variant.
+// significanceThreshold is the number of standard errors from which on a difference counts as significant. It is three
+// because a table has about twenty comparisons with the same plays of the first variant.
 const significanceThreshold = 3
 
-// significant tells whether the difference is more than chance.
+// significant reports whether the mean difference is at least significanceThreshold standard errors from zero. One pair
+// alone, or a mean of exactly zero, is never significant.
 func (r row) significant() bool {
 	return r.pairs > 1 && r.mean != 0 && math.Abs(r.mean) >= significanceThreshold*r.standardError()
 }
 
-// standardError is that of the mean difference.
+// standardError returns the standard error of the mean difference.
 func (r row) standardError() float64 { return r.stdDev / math.Sqrt(float64(r.pairs)) }
 
 // compareWithFirst pairs the plays of each variant with those of the first by day and seed.
@@ -58,7 +59,7 @@
 	return rows
 }
 
-// meanAndStdDev gives the mean and the standard deviation of a sample.
+// meanAndStdDev returns the mean and the sample standard deviation of the values.
 func meanAndStdDev(values []float64) (mean, stdDev float64) {
 	if len(values) == 0 {
 		return 0, 0
@@ -75,14 +76,14 @@
 	return mean, math.Sqrt(stdDev)
 }
 
-// tableOf writes rows as a Markdown table.
+// tableOf formats rows as a Markdown table.
 func tableOf(rows []row) string {
 	var text strings.Builder
-	text.WriteString("| variant | difference in worth | spread | pairs | |\n| --- | --- | --- | --- | --- |\n")
+	text.WriteString("| variant | difference in score | standard deviation | pairs | |\n| --- | --- | --- | --- | --- |\n")
 	for _, r := range rows {
-		verdict := "nothing shown"
+		verdict := "not significant"
 		if r.significant() {
-			verdict = "shown"
+			verdict = "significant"
 		}
 		if len(r.broken) > 0 {
 			verdict += "; broken: " + strings.Join(r.broken, ", ")
@@ -92,7 +93,7 @@
 	return text.String()
 }
 
-// Sizes of the plot, in pixels.
+// Dimensions of the plot in pixels.
 const (
 	plotWidth   = 640
 	plotLabels  = 160
@@ -100,7 +101,8 @@
 	plotPadding = 20
 )
 
-// plotOf draws rows as points with bars of three standard errors, around a line at no difference (SVG).
+// plotOf draws an SVG plot: a point with error bars of three standard errors for each row, and a vertical line at zero
+// difference.
 func plotOf(rows []row) string {
 	reach := 0.001
 	for _, r := range rows {
--- a/internal/tools/compare/variant.go
+++ b/internal/tools/compare/variant.go
@@ -10,15 +10,15 @@
 	"fieldrelay/internal/region/policy"
 )
 
-// variant is one form of the system.
+// variant is one configuration of the system: a revision with a list of disabled mechanisms.
 type variant struct {
 	name     string
 	revision string
-	off      []string // mechanisms
-	folder   string   // its clone
+	off      []string // disabled mechanisms
+	folder   string   // path of the variant's clone
 }
 
-// VariantError tells that a variant cannot be read.
+// VariantError reports an invalid variant argument.
 type VariantError struct {
 	Text   string
 	Reason string
@@ -27,7 +27,7 @@
 // Error implements error.
 func (e *VariantError) Error() string { return fmt.Sprintf("variant %q: %s", e.Text, e.Reason) }
 
-// parseVariants reads NAME=REVISION[:MECHANISM,...]. The error is a *VariantError.
+// parseVariants parses arguments of the form NAME=REVISION[:MECHANISM,...]. The error is a *VariantError.
 func parseVariants(texts []string) ([]*variant, error) {
 	seen := map[string]bool{}
 	var variants []*variant
@@ -37,7 +37,7 @@
 			return nil, &VariantError{Text: text, Reason: "must be NAME=REVISION[:MECHANISM,...]"}
 		}
 		if seen[name] {
-			return nil, &VariantError{Text: text, Reason: "another one has this name"}
+			return nil, &VariantError{Text: text, Reason: "duplicate name"}
 		}
 		seen[name] = true
 		read := &variant{name: name}
@@ -59,7 +59,7 @@
 	proxyCommand = "fieldrelay-region proxy"
 )
 
-// clone makes the variant's own copy of the repository, whose proxies run with its mechanisms off.
+// clone clones the repository at the variant's revision and disables the variant's mechanisms in the deployed proxies.
 func (v *variant) clone(repository, work string) error {
 	v.folder = filepath.Join(work, v.name)
 	if err := command("", "git", "clone", "--quiet", repository, v.folder); err != nil {
@@ -80,7 +80,7 @@
 	return os.WriteFile(path, []byte(switched), 0o644)
 }
 
-// command runs a program in a folder; what it prints is part of its error.
+// command runs a program in a folder. Its error includes the end of the program's output.
 func command(folder, program string, arguments ...string) error {
 	running := exec.Command(program, arguments...)
 	running.Dir = folder
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// maxOutputTail is how much of a program's output an error holds.
+// maxOutputTail is the maximum number of bytes of a program's output in an error.
 const maxOutputTail = 400
 
 func outputTail(printed []byte) string {
