--- a/internal/tools/sitefile/sitefile.go
+++ b/internal/tools/sitefile/sitefile.go
@@ -1,4 +1,4 @@
-// Package sitefile reads and writes the deployments that the bench plays, with the files that stand beside them.
+// Package sitefile reads and writes the site files (deployment descriptions) of the bench, with their companion files.
 package sitefile
 
 import (
@@ -24,19 +24,19 @@
 	return errors.Wrap(toml.Unmarshal(content, into), path)
 }
 
-// Write puts the site, named NAME.toml, into the folder together with the companions of the site file that it was
-// made from (day recordings, CUT and wire.json). It returns the path of the new site file.
+// Write writes the site to NAME.toml in the folder and copies the companion files of the original site file (day
+// recordings, CUT and wire.json) to the same folder. It returns the path of the new site file.
 func Write(site map[string]any, name, originalPath, folder string) (string, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return "", errors.Wrap(err, "making the output folder")
+		return "", errors.Wrap(err, "create the output folder")
 	}
 	content, err := toml.Marshal(site)
 	if err != nil {
-		return "", errors.Wrap(err, "writing the site")
+		return "", errors.Wrap(err, "encode the site")
 	}
 	path := filepath.Join(folder, name+".toml")
 	if err := os.WriteFile(path, content, filePermission); err != nil {
-		return "", errors.Wrap(err, "writing the site")
+		return "", errors.Wrap(err, "write the site file")
 	}
 	return path, copyCompanions(name, originalPath, folder)
 }
@@ -59,7 +59,7 @@
 func copyFile(from, to string) error {
 	content, err := os.ReadFile(from)
 	if err != nil {
-		return errors.Wrap(err, "copying a companion file")
+		return errors.Wrap(err, "copy a companion file of the site")
 	}
-	return errors.Wrap(os.WriteFile(to, content, filePermission), "copying a companion file")
+	return errors.Wrap(os.WriteFile(to, content, filePermission), "copy a companion file of the site")
 }
