--- a/internal/tools/overlay/main.go
+++ b/internal/tools/overlay/main.go
@@ -1,10 +1,10 @@
-// Command overlay makes a new deployment for the bench out of a given site file and a small file of edits, so
-// that deployments of our own are kept without a copy of the given ones.
+// Command overlay derives a new deployment for the bench from an existing site file and a small file of edits, so
+// that the repository stores the edits only and no copy of the original site file.
 //
 //	overlay EDITS SITE OUTPUT-FOLDER
 //
-// The new site file and the files that must stand beside it (its day recordings, CUT and wire.json) go to
-// OUTPUT-FOLDER, which should lie outside the repository.
+// The new site file and its required companion files (day recordings, CUT and wire.json) are written to
+// OUTPUT-FOLDER, which should be outside the repository.
 package main
 
 import (
@@ -18,15 +18,15 @@
 
 const argumentCount = 4
 
-// edits is one file of edits.
+// edits is the content of a file of edits.
 type edits struct {
-	Name   string `toml:"name"`   // of the new site
-	Set    []edit `toml:"set"`    // values that are replaced or added
-	Append []edit `toml:"append"` // values that are added at the end of a list
-	Remove []edit `toml:"remove"` // values or list entries that are taken out
+	Name   string `toml:"name"`   // name of the new site
+	Set    []edit `toml:"set"`    // values to replace or add
+	Append []edit `toml:"append"` // values to append to a list
+	Remove []edit `toml:"remove"` // values or list entries to remove
 }
 
-// edit names a place in the site file and what is to stand there.
+// edit is a path in the site file and the value to set or append there; removals have no value.
 type edit struct {
 	Path  string `toml:"path"`
 	Value any    `toml:"value"`
@@ -52,7 +52,7 @@
 		return "", err
 	}
 	if changes.Name == "" {
-		return "", errors.Newf("%s: name is missing", editsPath)
+		return "", errors.Newf("%s: the key \"name\" is missing or empty", editsPath)
 	}
 	site := map[string]any{}
 	if err := sitefile.Read(sitePath, &site); err != nil {
@@ -65,7 +65,7 @@
 	return sitefile.Write(site, changes.Name, sitePath, folder)
 }
 
-// apply makes all changes to the site, in the order set, append, remove.
+// apply applies all edits to the site, in the order set, append, remove.
 func apply(site map[string]any, changes *edits) error {
 	for _, change := range changes.Set {
 		if err := setAt(site, change.Path, change.Value); err != nil {
--- a/internal/tools/overlay/path.go
+++ b/internal/tools/overlay/path.go
@@ -7,24 +7,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A path names places in a site: keys parted by dots, each with an optional selector of list entries in
-// brackets: [*] for all, [key=value] for those where it holds. "classes[name=till-help].stream.resume" is one.
+// A path addresses values in a site: keys separated by dots, each with an optional selector of list entries in
+// brackets: [*] for all entries, [key=value] for the entries with this value of the key. Example:
+// "classes[name=till-help].stream.resume".
 
-// step is one part of a path.
+// step is one key of a path with its optional selector.
 type step struct {
 	key      string
 	selected bool   // a selector follows the key
-	field    string // of the selector, "*" for all entries
+	field    string // key in the selector; "*" selects all entries
 	value    string
 }
 
-// PathError tells that a path names nothing in the site.
+// PathError reports a path that is invalid or matches nothing in the site.
 type PathError struct {
 	Path   string
 	Reason string
 }
 
-// Error names the path and the reason.
+// Error implements error.
 func (e *PathError) Error() string { return fmt.Sprintf("path %q: %s", e.Path, e.Reason) }
 
 func parsePath(path string) ([]step, error) {
@@ -37,14 +38,14 @@
 			parsed.field, parsed.value, _ = strings.Cut(selector, "=")
 		}
 		if key == "" {
-			return nil, &PathError{Path: path, Reason: "an empty key"}
+			return nil, &PathError{Path: path, Reason: "contains an empty key"}
 		}
 		steps = append(steps, parsed)
 	}
 	return steps, nil
 }
 
-// parents finds every table that holds the last key of the path.
+// parents returns every table that the path without its last step addresses, and the last step.
 func parents(site map[string]any, path string) ([]map[string]any, step, error) {
 	steps, err := parsePath(path)
 	if err != nil {
@@ -60,7 +61,7 @@
 	return tables, steps[len(steps)-1], nil
 }
 
-// descend goes from the tables to those under one step of the path.
+// descend returns the tables that one step of the path reaches from the given tables.
 func descend(tables []map[string]any, current step, path string) ([]map[string]any, error) {
 	var found []map[string]any
 	for _, table := range tables {
@@ -73,7 +74,7 @@
 		}
 	}
 	if len(found) == 0 {
-		return nil, &PathError{Path: path, Reason: "nothing at " + current.key}
+		return nil, &PathError{Path: path, Reason: "no table found at " + current.key}
 	}
 	return found, nil
 }
@@ -93,14 +94,14 @@
 	return s.field == "*" || fmt.Sprint(table[s.field]) == s.value
 }
 
-// setAt puts the value at every place that the path names.
+// setAt sets the value at every location that the path matches.
 func setAt(site map[string]any, path string, value any) error {
 	tables, last, err := parents(site, path)
 	if err != nil {
 		return err
 	}
 	if last.selected {
-		return errors.WithStack(&PathError{Path: path, Reason: "a value can't be set at a list entry"})
+		return errors.WithStack(&PathError{Path: path, Reason: "the last step must not select list entries when a value is set"})
 	}
 	for _, table := range tables {
 		table[last.key] = value
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// appendAt adds the value to every list that the path names; a missing list is made.
+// appendAt appends the value to every list that the path matches; a missing list is created.
 func appendAt(site map[string]any, path string, value any) error {
 	tables, last, err := parents(site, path)
 	if err != nil {
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// removeAt takes out the values or, where the last step has a selector, the list entries that the path names.
+// removeAt removes the values that the path matches or, if the last step has a selector, the matching list entries.
 func removeAt(site map[string]any, path string) error {
 	tables, last, err := parents(site, path)
 	if err != nil {
