--- a/internal/tools/protogen/main.go
+++ b/internal/tools/protogen/main.go
@@ -1,5 +1,5 @@
-// Command protogen compiles the .proto files under a folder and runs the module's pinned plug-ins on them, so
-// that no compiler has to be installed besides Go.
+// Command protogen compiles .proto files under a root folder and generates code with the plug-ins that go.mod pins, so
+// that code generation needs no protoc, only the Go toolchain.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"google.golang.org/protobuf/types/pluginpb"
 )
 
-// plugins are tools of this module, pinned in go.mod.
+// plugins are the protoc plug-ins to run. They are tool dependencies of this module, pinned in go.mod.
 var plugins = []string{"protoc-gen-go", "protoc-gen-connect-go"}
 
 func main() {
@@ -74,7 +74,7 @@
 		return err
 	}
 	if response.Error != nil {
-		return fmt.Errorf("%s", response.GetError())
+		return fmt.Errorf("plug-in reported: %s", response.GetError())
 	}
 	for _, file := range response.File {
 		path := filepath.Join(root, file.GetName())
