--- a/bench/cost/main.go
+++ b/bench/cost/main.go
@@ -1,5 +1,6 @@
-// Command cost compares what a request costs two programs of the sidecar, in
-// turn in one run: CPU a request, resident memory and descriptors when idle.
+// Command cost compares the resource usage of two sidecar binaries, measured
+// alternately in one run: CPU time per request, and resident memory, file
+// descriptors and threads when idle.
 //
 //	go run ./bench/cost -a OLD/bin/fieldrelay -b bin/fieldrelay
 package main
@@ -18,14 +19,14 @@
 )
 
 func main() {
-	a := flag.String("a", "", "the one program")
-	b := flag.String("b", "bin/fieldrelay", "the other program")
-	rounds := flag.Int("rounds", 3, "of both, in turn")
-	rate := flag.Float64("rate", 400, "requests a second")
-	length := flag.Duration("for", 10*time.Second, "each time")
-	fleet := flag.Bool("fleet", false, "both in a fleet of their own of one")
-	tail := flag.String("tail", "", "more sections of the operator's file, for the other program alone")
-	operator := flag.String("operator", "", "more keys of its section fleet, likewise")
+	a := flag.String("a", "", "path of the first sidecar binary")
+	b := flag.String("b", "bin/fieldrelay", "path of the second sidecar binary")
+	rounds := flag.Int("rounds", 3, "number of rounds; each round measures both binaries")
+	rate := flag.Float64("rate", 400, "requests per second")
+	length := flag.Duration("for", 10*time.Second, "duration of the load in each measurement")
+	fleet := flag.Bool("fleet", false, "run each sidecar as a fleet of one")
+	tail := flag.String("tail", "", "additional sections of the operator file, for the second binary only")
+	operator := flag.String("operator", "", "additional keys of the section fleet of the operator file, for the second binary only")
 	flag.Parse()
 	for range *rounds {
 		for i, binary := range []string{*a, *b} {
@@ -56,7 +57,7 @@
 	if err := r.Start(); err != nil {
 		return err
 	}
-	<-time.After(time.Second) // what a start costs is no part of it
+	<-time.After(time.Second) // excludes the cost of startup from the measurement
 	idle, err := r.Sidecars[0].Resources()
 	if err != nil {
 		return err
@@ -69,7 +70,7 @@
 		return err
 	}
 	v := checker.Judge(r.History.Entries(), processfleet.Classes, 0)
-	fmt.Printf("%s: %d requests, %d served, CPU %.1f us a request; idle: %d kB resident, %d descriptors, %d threads\n", opts.Binary, v.Requests, v.Served,
+	fmt.Printf("%s: %d requests, %d served, CPU %.1f us per request; idle: %d kB resident, %d descriptors, %d threads\n", opts.Binary, v.Requests, v.Served,
 		float64((after.CPU-idle.CPU).Microseconds())/float64(v.Requests), idle.ResidentKB, idle.Descriptors, idle.Threads)
 	return nil
 }
