--- a/bench/overload/main.go
+++ b/bench/overload/main.go
@@ -1,5 +1,6 @@
-// Command overload measures the sidecar's memory and service under floods, each
-// case with a sidecar of its own. From the root:
+// Command overload measures the sidecar's memory usage and request handling
+// under floods of requests. Each case starts its own sidecar. Run it from the
+// root of the repository:
 //
 //	go run ./bench/overload -memory 24,32,64,192
 //	go run ./bench/overload -case length,answers -binary path/to/another/fieldrelay
@@ -20,18 +21,18 @@
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "flood:", err)
+		fmt.Fprintln(os.Stderr, "overload:", err)
 		os.Exit(1)
 	}
 }
 
-// settings are what is to be run, and how it is shown.
+// settings are the command-line settings: which cases to run, and the output format.
 type settings struct {
 	options overload.Options
 	cases   []string
-	memory  []string // limits in MB
+	memory  []string // memory limits in MB
 	json    bool
-	logs    string // folder to keep the sidecars' logs in; empty: none is kept
+	logs    string // folder for the sidecars' logs; empty: logs are deleted at the end
 }
 
 func parseFlags() settings {
@@ -40,16 +41,16 @@
 	for i, c := range overload.Cases {
 		names[i] = c.Name
 	}
-	cases := flag.String("case", strings.Join(names, ","), "cases to run")
-	memory := flag.String("memory", "24,32,64,192", "limits in MB to run each of them at")
-	flag.BoolVar(&read.json, "json", false, "print one JSON line a run")
+	cases := flag.String("case", strings.Join(names, ","), "cases to run, separated by commas")
+	memory := flag.String("memory", "24,32,64,192", "memory limits in MB, separated by commas; each case runs at each limit")
+	flag.BoolVar(&read.json, "json", false, "print one line of JSON per run")
 	opts := &read.options
-	flag.StringVar(&opts.Binary, "binary", "", "the sidecar to measure; built from this source if empty")
-	flag.IntVar(&opts.Submitters, "submitters", opts.Submitters, "submitters of a flood")
-	flag.IntVar(&opts.Rounds, "rounds", opts.Rounds, "requests that each of them makes")
-	flag.IntVar(&opts.Rate, "rate", opts.Rate, "small requests a second beside the flood")
-	flag.DurationVar(&opts.Delay, "delay", opts.Delay, "time that an execute node takes for a large request")
-	flag.StringVar(&read.logs, "logs", "", "folder to keep the sidecars' logs in")
+	flag.StringVar(&opts.Binary, "binary", "", "path of the sidecar binary; if empty, it is built from this source tree")
+	flag.IntVar(&opts.Submitters, "submitters", opts.Submitters, "number of concurrent clients that submit the flood")
+	flag.IntVar(&opts.Rounds, "rounds", opts.Rounds, "number of requests per submitter")
+	flag.IntVar(&opts.Rate, "rate", opts.Rate, "small requests per second during the flood")
+	flag.DurationVar(&opts.Delay, "delay", opts.Delay, "time an execute node takes to answer a large request")
+	flag.StringVar(&read.logs, "logs", "", "folder for the sidecars' logs; if empty, they are deleted")
 	flag.Parse()
 	read.cases, read.memory = strings.Split(*cases, ","), strings.Split(*memory, ",")
 	return read
@@ -87,12 +88,12 @@
 		}
 	}
 	if broken > 0 {
-		return fmt.Errorf("%d runs over their limit, with bytes left over or not ended in good order", broken)
+		return fmt.Errorf("%d runs exceeded their memory limit, left bytes in use or exited abnormally", broken)
 	}
 	return nil
 }
 
-// build builds the sidecar.
+// build compiles the sidecar to the path.
 func build(binary string) error {
 	command := exec.Command("go", "build", "-o", binary, "fieldrelay/cmd/fieldrelay")
 	command.Stderr = os.Stderr
@@ -102,11 +103,11 @@
 	return nil
 }
 
-// runCase runs a case at a limit in MB.
+// runCase runs the named case with a memory limit of mb megabytes.
 func (s settings) runCase(name, mb string) (result overload.Result, err error) {
 	opts := s.options
 	if opts.MemoryMB, err = strconv.Atoi(mb); err != nil {
-		return result, fmt.Errorf("memory: %q is not a number of MB", mb)
+		return result, fmt.Errorf("memory limit %q is not a whole number of MB", mb)
 	}
 	c, err := overload.Named(name)
 	if err != nil {
@@ -123,13 +124,13 @@
 	return result, nil
 }
 
-// print prints a result, as JSON or for people.
+// print writes a result to standard output, as JSON or as text.
 func (s settings) print(res overload.Result) error {
 	if s.json {
 		return json.NewEncoder(os.Stdout).Encode(res)
 	}
 	if res.Replaced+res.Reloaded+res.Kept > 0 {
-		fmt.Printf("replaced %d times, reloaded %d, kept as it was %d\n", res.Replaced, res.Reloaded, res.Kept)
+		fmt.Printf("replaced %d times, reloaded %d, kept unchanged %d\n", res.Replaced, res.Reloaded, res.Kept)
 	}
 	fmt.Printf("%-8s %3d MB: peak %5.1f MB, 2 s later %5.1f MB, CPU %.2f s %s\n   flood: %v\n   small: %v\n   calm:  %v\n",
 		res.Case, res.MemoryMB, float64(res.PeakKB)/1024, float64(res.AfterKB)/1024, res.CPU.Seconds(), res.Exit,
