--- a/internal/tools/drawdays/budget.go
+++ b/internal/tools/drawdays/budget.go
@@ -3,9 +3,9 @@
 // budget keeps the spans of a day in which machines that count are lost, so that no draw takes more of them at
 // once than the site promises to bear. What is lost counts until syncS after it is back.
 type budget struct {
-	site  limits
-	spans []lossSpan
-	gone  map[removal]float64 // share of the servers or of the edge machines
+	site            limits
+	spans           []lossSpan
+	removedFraction map[removal]float64 // share of the servers or of the edge machines
 }
 
 type lossSpan struct {
@@ -13,23 +13,25 @@
 	machines int
 }
 
-// mostGone is the share of the servers, or of the edge machines, that may leave for good in a day.
-const mostGone = 0.4
+// maxRemovedFraction is the share of the servers, or of the edge machines, that may leave for good in a day.
+const maxRemovedFraction = 0.4
 
 // rollStepS is about how long a machine that is told to end and started again is away, in seconds.
 const rollStepS = 1.5
 
 func newBudget(site limits) budget {
-	return budget{site: site, gone: map[removal]float64{}}
+	return budget{site: site, removedFraction: map[removal]float64{}}
 }
 
-// spare reports whether what the entry takes away for good leaves enough.
-func (b *budget) spare(leaves removal, entry fault) bool {
-	return leaves == removesNone || b.gone[leaves]+entry.Share <= mostGone
+// allowsRemoval reports whether what the entry takes away for good leaves enough.
+func (b *budget) allowsRemoval(leaves removal, entry fault) bool {
+	return leaves == removesNone || b.removedFraction[leaves]+entry.Fraction <= maxRemovedFraction
 }
 
-// leave books what the entry takes away for good.
-func (b *budget) leave(leaves removal, entry fault) { b.gone[leaves] += entry.Share }
+// recordRemoval books what the entry takes away for good.
+func (b *budget) recordRemoval(leaves removal, entry fault) {
+	b.removedFraction[leaves] += entry.Fraction
+}
 
 // take books the entry if the budget allows it, and reports whether it did.
 func (b *budget) take(takes loss, at float64, entry fault) bool {
@@ -50,7 +52,7 @@
 // away returns how long the machines of the entry are away, in seconds.
 func (b *budget) away(takes loss, entry fault) float64 {
 	if takes == coreRoll {
-		return entry.Share * float64(b.site.coreCount) * (entry.GapS + rollStepS)
+		return entry.Fraction * float64(b.site.coreCount) * (entry.GapS + rollStepS)
 	}
 	if entry.Kind == "replace_core" {
 		return entry.X
--- a/internal/tools/drawdays/draw.go
+++ b/internal/tools/drawdays/draw.go
@@ -64,7 +64,7 @@
 	for range crossingsPerDay {
 		crossing := d.nextCrossing(current.name)
 		for range timesPerDay {
-			d.place(&drawn, crossing, d.site.lengthS-endMargin)
+			d.scheduleRandomly(&drawn, crossing, d.site.lengthS-endMargin)
 		}
 	}
 	if drawn.Closing == nil && d.random.Float64() < closingFraction {
@@ -87,20 +87,20 @@
 	return deck[0]
 }
 
-// place adds the variant at a random time before the latest, if the fault budget leaves one.
-func (d *drawer) place(into *day, form variant, latest float64) {
+// scheduleRandomly adds the variant at a random time before the latest, if the fault budget leaves one.
+func (d *drawer) scheduleRandomly(into *day, form variant, latest float64) {
 	for range placementAttempts {
 		at := d.between(span{startMargin, latest})
-		if d.placeAt(into, form, at) {
+		if d.scheduleAt(into, form, at) {
 			return
 		}
 	}
 }
 
-// placeAt adds the variant at the time and reports whether the fault budget allows it.
-func (d *drawer) placeAt(into *day, form variant, at float64) bool {
+// scheduleAt adds the variant at the time and reports whether the fault budget allows it.
+func (d *drawer) scheduleAt(into *day, form variant, at float64) bool {
 	entry := d.entry(form, at)
-	if !d.budget.spare(form.removes, entry) {
+	if !d.budget.allowsRemoval(form.removes, entry) {
 		return false
 	}
 	taken := d.budget.take(form.takes, at, entry)
@@ -111,7 +111,7 @@
 	if !taken {
 		return false
 	}
-	d.budget.leave(form.removes, entry)
+	d.budget.recordRemoval(form.removes, entry)
 	into.add(entry)
 	return true
 }
@@ -119,8 +119,8 @@
 // entry draws the fields that the variant takes.
 func (d *drawer) entry(form variant, at float64) fault {
 	entry := fault{
-		At: round(at), Kind: form.kind, How: form.how, On: form.on, planned: form.planned,
-		ForS: d.drawn(form.forS), GapS: d.drawn(form.gapS), Share: d.drawn(form.share), X: d.drawn(form.x),
+		At: roundToHundredths(at), Kind: form.kind, How: form.how, On: form.on, planned: form.planned,
+		ForS: d.drawn(form.forS), GapS: d.drawn(form.gapS), Fraction: d.drawn(form.fraction), X: d.drawn(form.x),
 		Count: int(d.drawn(form.count)),
 	}
 	if form.takes == machineLoss && form.count != (span{}) {
@@ -140,7 +140,7 @@
 }
 
 func (d *drawer) between(from span) float64 {
-	return round(from.from + d.random.Float64()*(from.to-from.from))
+	return roundToHundredths(from.from + d.random.Float64()*(from.to-from.from))
 }
 
 func (d *drawer) oneOf(words ...string) string { return words[d.random.IntN(len(words))] }
@@ -156,8 +156,8 @@
 	return drawn
 }
 
-// round keeps hundredths.
-func round(value float64) float64 {
+// roundToHundredths keeps hundredths.
+func roundToHundredths(value float64) float64 {
 	const hundredths = 100
 	return math.Round(value*hundredths) / hundredths
 }
--- a/internal/tools/drawdays/drawdays_test.go
+++ b/internal/tools/drawdays/drawdays_test.go
@@ -99,9 +99,9 @@
 			case entry.Kind == "roll_term" && entry.How == "remove" && entry.On == "core":
 				core++
 			case entry.Kind == "roll_term" && entry.How == "remove":
-				edges += entry.Share
+				edges += entry.Fraction
 			case entry.Kind == "replace_with_reuse" || entry.How == "gone" || entry.Kind == "scale_in" && entry.How == "":
-				servers += entry.Share
+				servers += entry.Fraction
 			}
 		}
 		require.LessOrEqual(t, edges, 0.4, drawn.Name)
--- a/internal/tools/drawdays/points.go
+++ b/internal/tools/drawdays/points.go
@@ -34,11 +34,11 @@
 	case 2:
 		start = d.between(span{-d.site.leadS / 2, 0})
 	}
-	d.placeAt(into, cut, start)
+	d.scheduleAt(into, cut, start)
 	d.ordersDuring(into, start, longPartitionS)
 	if d.random.IntN(2) == 0 {
-		away := variant{kind: "node_cut", how: d.oneOf("", "all"), share: half, forS: span{longPartitionS, longPartitionS}}
-		d.placeAt(into, away, start+d.between(span{0, 1}))
+		away := variant{kind: "node_cut", how: d.oneOf("", "all"), fraction: half, forS: span{longPartitionS, longPartitionS}}
+		d.scheduleAt(into, away, start+d.between(span{0, 1}))
 	}
 }
 
@@ -69,12 +69,12 @@
 	races := variant{kind: "config_race", count: span{4, 12}, gapS: span{0.4, 1.5}, planned: true}
 	evacuation := variant{kind: "evacuate", how: d.oneOf("", "warm"), forS: span{2, length / 2}, planned: true}
 	lost := variant{kind: "ack_lost", forS: span{length / 2, length}, x: span{0.5, 0.9}}
-	d.placeAt(into, []variant{storm, races}[d.random.IntN(2)], from+d.between(span{0, 1}))
+	d.scheduleAt(into, []variant{storm, races}[d.random.IntN(2)], from+d.between(span{0, 1}))
 	if d.random.IntN(2) == 0 {
-		d.placeAt(into, evacuation, from+d.between(span{1, length / 2}))
+		d.scheduleAt(into, evacuation, from+d.between(span{1, length / 2}))
 	}
 	if d.random.IntN(2) == 0 {
-		d.placeAt(into, lost, from)
+		d.scheduleAt(into, lost, from)
 	}
 }
 
@@ -86,14 +86,14 @@
 	lost := variant{kind: "ack_lost", forS: span{length / 2, length - 4}, x: span{0.6, 0.9}}
 	evacuation := variant{kind: "evacuate", how: d.oneOf("", "warm"), forS: span{2, 6}, planned: true}
 	for _, entry := range []variant{races, storm, lost, evacuation, evacuation, races} {
-		d.place(into, entry, length/2)
+		d.scheduleRandomly(into, entry, length/2)
 	}
 	rolls := rollVariants()
-	d.place(into, rolls[d.random.IntN(len(rolls))], length/2)
+	d.scheduleRandomly(into, rolls[d.random.IntN(len(rolls))], length/2)
 	kill := variant{kind: "node_kill", on: "core", count: oneOrMore, forS: brief, takes: machineLoss,
 		how: joinWords(d.oneOf(targets...), d.oneOf(returns...))}
-	d.place(into, kill, length-endMargin)
-	d.place(into, kill, length-endMargin)
+	d.scheduleRandomly(into, kill, length-endMargin)
+	d.scheduleRandomly(into, kill, length-endMargin)
 }
 
 // drawSecondLoss lets losses follow one another as soon as the fault budget is free again, through the whole day.
@@ -107,18 +107,18 @@
 		{kind: "after_ack_kill", how: "timed", forS: span{0.2, 1}, count: oneOrMore, takes: machineLoss},
 	}
 	storm := variant{kind: "config_storm", forS: span{15, 28}, gapS: span{0.3, 0.9}, planned: true}
-	d.placeAt(into, storm, d.between(span{startMargin, 3}))
-	d.placeAt(into, variant{kind: "big_config", count: span{100, 350}, planned: true}, startMargin)
-	herd := variant{kind: "herd_kill", on: "core", how: d.oneOf("power", "taken", "taken all"), share: span{1, 1},
+	d.scheduleAt(into, storm, d.between(span{startMargin, 3}))
+	d.scheduleAt(into, variant{kind: "big_config", count: span{100, 350}, planned: true}, startMargin)
+	herd := variant{kind: "herd_kill", on: "core", how: d.oneOf("power", "taken", "taken all"), fraction: span{1, 1},
 		forS: span{0.2, 0.8}}
 	next := d.between(span{0.5, 4})
 	for next < d.site.lengthS-endMargin {
-		if !d.placeOneOf(into, losses, next) {
+		if !d.scheduleOneOf(into, losses, next) {
 			next += d.site.syncS
 			continue
 		}
 		if d.random.IntN(3) == 0 {
-			d.placeAt(into, herd, next+d.between(span{0, 1}))
+			d.scheduleAt(into, herd, next+d.between(span{0, 1}))
 		}
 		next = d.budget.freeFrom(next) + afterSync
 	}
@@ -126,10 +126,10 @@
 		DownS: d.between(span{0.3, 1})}
 }
 
-// placeOneOf adds one of the variants at the time, and reports whether the fault budget allows any.
-func (d *drawer) placeOneOf(into *day, forms []variant, at float64) bool {
+// scheduleOneOf adds one of the variants at the time, and reports whether the fault budget allows any.
+func (d *drawer) scheduleOneOf(into *day, forms []variant, at float64) bool {
 	for _, index := range d.random.Perm(len(forms)) {
-		if d.placeAt(into, forms[index], at) {
+		if d.scheduleAt(into, forms[index], at) {
 			return true
 		}
 	}
@@ -139,8 +139,8 @@
 // drawManyChanges brings hundreds of changes while machines are away for long, and then a loss.
 func drawManyChanges(d *drawer, into *day) {
 	length := d.site.lengthS
-	d.placeAt(into, variant{kind: "big_config", count: span{100, 1100}, planned: true}, startMargin)
-	d.placeAt(into, variant{kind: "config_storm", forS: span{length * 0.6, length - 5}, gapS: span{0.06, 0.1},
+	d.scheduleAt(into, variant{kind: "big_config", count: span{100, 1100}, planned: true}, startMargin)
+	d.scheduleAt(into, variant{kind: "config_storm", forS: span{length * 0.6, length - 5}, gapS: span{0.06, 0.1},
 		planned: true}, 1)
 	long := span{length * 0.5, length * 0.65}
 	away := []variant{
@@ -148,18 +148,18 @@
 			count: oneOrMore, takes: machineLoss},
 		{kind: "node_freeze", on: "core", how: d.oneOf("", "leader"), forS: long, count: oneOrMore, takes: machineLoss},
 		{kind: "disk_full", how: d.oneOf("", "leader"), forS: long, count: oneOrMore, takes: machineLoss},
-		{kind: "herd_kill", on: "core", how: d.oneOf("", "power"), share: span{1, 1}, forS: span{4, 10}, takes: coreHerd},
+		{kind: "herd_kill", on: "core", how: d.oneOf("", "power"), fraction: span{1, 1}, forS: span{4, 10}, takes: coreHerd},
 		{kind: "replace_core", x: span{length * 0.3, length * 0.6}, takes: machineLoss, planned: true},
 	}
-	d.placeAt(into, away[d.random.IntN(len(away))], d.between(span{2, 4}))
+	d.scheduleAt(into, away[d.random.IntN(len(away))], d.between(span{2, 4}))
 	edge := []variant{
-		{kind: "node_kill", share: half, forS: long},
-		{kind: "node_cut", share: half, forS: long, how: d.oneOf("", "all")},
-		{kind: "node_freeze", share: few, forS: long},
+		{kind: "node_kill", fraction: half, forS: long},
+		{kind: "node_cut", fraction: half, forS: long, how: d.oneOf("", "all")},
+		{kind: "node_freeze", fraction: few, forS: long},
 	}
-	d.placeAt(into, edge[d.random.IntN(len(edge))], d.between(span{2, 4}))
+	d.scheduleAt(into, edge[d.random.IntN(len(edge))], d.between(span{2, 4}))
 	after := d.budget.freeFrom(0) + afterSync
-	d.placeAt(into, variant{kind: "after_ack_wipe", how: d.oneOf("", "oldest"), forS: brief, count: oneOrMore,
+	d.scheduleAt(into, variant{kind: "after_ack_wipe", how: d.oneOf("", "oldest"), forS: brief, count: oneOrMore,
 		takes: machineLoss}, min(after, length-1))
 }
 
@@ -168,11 +168,11 @@
 	ill := serverVariants()
 	for range 5 {
 		chosen := ill[d.random.IntN(len(ill))]
-		d.place(into, chosen, d.site.lengthS*0.7)
-		d.place(into, chosen, d.site.lengthS*0.7)
+		d.scheduleRandomly(into, chosen, d.site.lengthS*0.7)
+		d.scheduleRandomly(into, chosen, d.site.lengthS*0.7)
 	}
-	d.place(into, variant{kind: "release", share: most, x: span{1, 3}, gapS: span{0.4, 1.2}, planned: true}, plannedStepS)
+	d.scheduleRandomly(into, variant{kind: "release", fraction: most, x: span{1, 3}, gapS: span{0.4, 1.2}, planned: true}, plannedStepS)
 	rolls := rollVariants()
-	d.place(into, rolls[d.random.IntN(len(rolls))], d.site.lengthS/2)
-	d.place(into, variant{kind: "give_up", share: half, x: span{50, 400}, forS: span{5, 15}}, d.site.lengthS/2)
+	d.scheduleRandomly(into, rolls[d.random.IntN(len(rolls))], d.site.lengthS/2)
+	d.scheduleRandomly(into, variant{kind: "give_up", fraction: half, x: span{50, 400}, forS: span{5, 15}}, d.site.lengthS/2)
 }
--- a/internal/tools/drawdays/variants.go
+++ b/internal/tools/drawdays/variants.go
@@ -25,17 +25,17 @@
 
 // variant is one kind of trouble in one of its forms, with the fields that it takes.
 type variant struct {
-	kind    string
-	how     string
-	on      string
-	forS    span
-	gapS    span
-	share   span
-	count   span
-	x       span
-	takes   loss
-	removes removal // what doesn't come back
-	planned bool
+	kind     string
+	how      string
+	on       string
+	forS     span
+	gapS     span
+	fraction span
+	count    span
+	x        span
+	takes    loss
+	removes  removal // what doesn't come back
+	planned  bool
 }
 
 // Forms that an entry on machines can have: which machine is hit, and what is done as it comes back.
@@ -83,58 +83,58 @@
 
 func serverVariants() []variant {
 	var all []variant
-	all = append(all, withForms(variant{kind: "srv_crash", share: few, forS: seconds},
+	all = append(all, withForms(variant{kind: "srv_crash", fraction: few, forS: seconds},
 		"", "dark", "dark across", "all")...)
-	all = append(all, variant{kind: "srv_crash", how: "gone", share: few, removes: removesServers})
-	all = append(all, withForms(variant{kind: "srv_grey", share: few, forS: seconds, x: span{0.2, 0.6}},
+	all = append(all, variant{kind: "srv_crash", how: "gone", fraction: few, removes: removesServers})
+	all = append(all, withForms(variant{kind: "srv_grey", fraction: few, forS: seconds, x: span{0.2, 0.6}},
 		"errors", "shed", "busy", "hang", "reset", "mute", "errors one_zone", "mute one_zone", "reset across")...)
-	all = append(all, variant{kind: "srv_grey", how: "slow", share: few, forS: seconds, x: span{4, 10}})
-	all = append(all, withForms(variant{kind: "srv_lying_health", share: few, forS: seconds},
+	all = append(all, variant{kind: "srv_grey", how: "slow", fraction: few, forS: seconds, x: span{4, 10}})
+	all = append(all, withForms(variant{kind: "srv_lying_health", fraction: few, forS: seconds},
 		"errors", "hang", "reset", "bad")...)
-	all = append(all, variant{kind: "srv_flap", share: few, forS: seconds, gapS: span{0.4, 1.6}})
-	all = append(all, withForms(variant{kind: "answer_lost", share: most, forS: seconds, x: span{0.03, 0.2}},
+	all = append(all, variant{kind: "srv_flap", fraction: few, forS: seconds, gapS: span{0.4, 1.6}})
+	all = append(all, withForms(variant{kind: "answer_lost", fraction: most, forS: seconds, x: span{0.03, 0.2}},
 		"", "reset")...)
-	all = append(all, withForms(variant{kind: "garble", share: most, forS: seconds, x: span{0.02, 0.15}},
+	all = append(all, withForms(variant{kind: "garble", fraction: most, forS: seconds, x: span{0.02, 0.15}},
 		"", "extra", "late", "extra late", "unframed", "early", "early unframed", "extra unframed")...)
-	all = append(all, variant{kind: "srv_slow", share: few, forS: seconds, x: span{2, 6}})
-	all = append(all, withForms(variant{kind: "srv_cut", share: few, forS: seconds, x: span{0.2, 0.6}},
+	all = append(all, variant{kind: "srv_slow", fraction: few, forS: seconds, x: span{2, 6}})
+	all = append(all, withForms(variant{kind: "srv_cut", fraction: few, forS: seconds, x: span{0.2, 0.6}},
 		"", "fronts", "one_way", "reset", "fronts one_way")...)
-	all = append(all, withForms(variant{kind: "replace_with_reuse", share: few, removes: removesServers}, "", "drain", "dark")...)
-	all = append(all, variant{kind: "idle_race", share: half, forS: seconds, x: span{100, 600}})
+	all = append(all, withForms(variant{kind: "replace_with_reuse", fraction: few, removes: removesServers}, "", "drain", "dark")...)
+	all = append(all, variant{kind: "idle_race", fraction: half, forS: seconds, x: span{100, 600}})
 	return append(all, fleetVariants()...)
 }
 
 // fleetVariants are planned changes of the servers.
 func fleetVariants() []variant {
 	var all []variant
-	all = append(all, variant{kind: "release", share: most, x: span{1, 3}, gapS: span{0.4, 1.2}, planned: true})
-	all = append(all, variant{kind: "scale_out", share: few, gapS: span{0.5, 3}, planned: true})
-	all = append(all, variant{kind: "scale_in", share: few, removes: removesServers, planned: true})
-	all = append(all, variant{kind: "scale_in", how: "spot", share: few, x: span{0.5, 2}})
+	all = append(all, variant{kind: "release", fraction: most, x: span{1, 3}, gapS: span{0.4, 1.2}, planned: true})
+	all = append(all, variant{kind: "scale_out", fraction: few, gapS: span{0.5, 3}, planned: true})
+	all = append(all, variant{kind: "scale_in", fraction: few, removes: removesServers, planned: true})
+	all = append(all, variant{kind: "scale_in", how: "spot", fraction: few, x: span{0.5, 2}})
 	return all
 }
 
 func trafficVariants() []variant {
 	return []variant{
 		{kind: "burst", x: span{1.3, 2}, forS: seconds},
-		{kind: "shift", share: half, forS: seconds},
-		{kind: "retry_abuse", share: few, x: span{1, 3}, forS: seconds},
-		{kind: "give_up", share: half, x: span{50, 400}, forS: seconds},
+		{kind: "shift", fraction: half, forS: seconds},
+		{kind: "retry_abuse", fraction: few, x: span{1, 3}, forS: seconds},
+		{kind: "give_up", fraction: half, x: span{50, 400}, forS: seconds},
 	}
 }
 
 // edgeVariants hit machines that don't count for the fault budget.
 func edgeVariants() []variant {
 	var all []variant
-	all = append(all, withForms(variant{kind: "node_kill", share: half, forS: seconds}, "", "power", "turn")...)
-	all = append(all, withForms(variant{kind: "node_cut", share: half, forS: seconds}, "", "all", "servers", "reset")...)
-	all = append(all, variant{kind: "node_freeze", share: few, forS: seconds})
-	all = append(all, variant{kind: "node_slow", share: few, forS: seconds, x: span{2, 6}})
-	all = append(all, withForms(variant{kind: "herd_kill", share: most, forS: brief}, "", "power")...)
-	all = append(all, withForms(variant{kind: "clock_step", share: most, forS: seconds, x: span{500, 60000}},
+	all = append(all, withForms(variant{kind: "node_kill", fraction: half, forS: seconds}, "", "power", "turn")...)
+	all = append(all, withForms(variant{kind: "node_cut", fraction: half, forS: seconds}, "", "all", "servers", "reset")...)
+	all = append(all, variant{kind: "node_freeze", fraction: few, forS: seconds})
+	all = append(all, variant{kind: "node_slow", fraction: few, forS: seconds, x: span{2, 6}})
+	all = append(all, withForms(variant{kind: "herd_kill", fraction: most, forS: brief}, "", "power")...)
+	all = append(all, withForms(variant{kind: "clock_step", fraction: most, forS: seconds, x: span{500, 60000}},
 		"ahead", "back")...)
-	all = append(all, variant{kind: "reset_conns", share: half, x: half})
-	all = append(all, variant{kind: "hup", share: most, gapS: span{0.5, 2}, planned: true})
+	all = append(all, variant{kind: "reset_conns", fraction: half, x: half})
+	all = append(all, variant{kind: "hup", fraction: most, gapS: span{0.5, 2}, planned: true})
 	all = append(all, variant{kind: "add_nodes", planned: true})
 	all = append(all, variant{kind: "seed_turnover", planned: true})
 	return all
@@ -147,7 +147,7 @@
 	ackKill := variant{kind: "after_ack_kill", count: oneOrMore, forS: brief, takes: machineLoss}
 	wipe := variant{kind: "after_ack_wipe", count: oneOrMore, forS: brief, takes: machineLoss}
 	replace := variant{kind: "replace_core", x: span{0.3, 3}, takes: machineLoss, planned: true}
-	herd := variant{kind: "herd_kill", on: "core", share: span{1, 1}, forS: brief, takes: coreHerd}
+	herd := variant{kind: "herd_kill", on: "core", fraction: span{1, 1}, forS: brief, takes: coreHerd}
 
 	var all []variant
 	all = append(all, withForms(kill, "", "power", "power leader", "reader", "seed", "turn", "leader race",
@@ -210,12 +210,12 @@
 // replace_core alone.
 func rollVariants() []variant {
 	var all []variant
-	edge := variant{kind: "roll_term", share: most, x: span{1, 2}, gapS: span{0.4, 1.3}, planned: true}
-	core := variant{kind: "roll_term", on: "core", share: span{0.4, 1}, x: span{1, 1}, gapS: span{0.5, 2},
+	edge := variant{kind: "roll_term", fraction: most, x: span{1, 2}, gapS: span{0.4, 1.3}, planned: true}
+	core := variant{kind: "roll_term", on: "core", fraction: span{0.4, 1}, x: span{1, 1}, gapS: span{0.5, 2},
 		takes: coreRoll, planned: true}
 	all = append(all, withForms(edge, "", "busy")...)
 	all = append(all, withForms(core, "", "busy")...)
 	removed := edge
-	removed.how, removed.share, removed.removes = "remove", few, removesEdges
+	removed.how, removed.fraction, removed.removes = "remove", few, removesEdges
 	return append(all, removed)
 }
