--- a/internal/tools/drawdays/budget.go
+++ b/internal/tools/drawdays/budget.go
@@ -1,11 +1,11 @@
 package main
 
-// budget keeps the spans of a day in which machines that count are lost, so that no draw takes more of them at
-// once than the site promises to bear. What is lost counts until syncS after it is back.
+// budget records the time spans of a day in which machines that count towards the fault budget are lost, so that no generated entry makes the site
+// lose more of them at once than it claims to tolerate. A machine counts as lost until syncS after its return.
 type budget struct {
 	site            limits
 	spans           []lossSpan
-	removedFraction map[removal]float64 // share of the servers or of the edge machines
+	removedFraction map[removal]float64 // fraction of the servers or of the edge machines removed so far in the day
 }
 
 type lossSpan struct {
@@ -13,27 +13,28 @@
 	machines int
 }
 
-// maxRemovedFraction is the share of the servers, or of the edge machines, that may leave for good in a day.
+// maxRemovedFraction is the maximum fraction of the servers, and of the edge machines, that a day may remove
+// permanently.
 const maxRemovedFraction = 0.4
 
-// rollStepS is about how long a machine that is told to end and started again is away, in seconds.
+// rollStepS is the approximate downtime of a machine in a planned restart, in seconds.
 const rollStepS = 1.5
 
 func newBudget(site limits) budget {
 	return budget{site: site, removedFraction: map[removal]float64{}}
 }
 
-// allowsRemoval reports whether what the entry takes away for good leaves enough.
+// allowsRemoval reports whether the fraction removed permanently stays within maxRemovedFraction with the entry.
 func (b *budget) allowsRemoval(leaves removal, entry fault) bool {
 	return leaves == removesNone || b.removedFraction[leaves]+entry.Fraction <= maxRemovedFraction
 }
 
-// recordRemoval books what the entry takes away for good.
+// recordRemoval records the fraction that the entry removes permanently.
 func (b *budget) recordRemoval(leaves removal, entry fault) {
 	b.removedFraction[leaves] += entry.Fraction
 }
 
-// take books the entry if the budget allows it, and reports whether it did.
+// take reserves budget for the entry if enough is free, and reports whether it did.
 func (b *budget) take(takes loss, at float64, entry fault) bool {
 	if takes == noLoss {
 		return true
@@ -49,7 +50,7 @@
 	return true
 }
 
-// away returns how long the machines of the entry are away, in seconds.
+// away returns the downtime of the machines that the entry affects, in seconds.
 func (b *budget) away(takes loss, entry fault) float64 {
 	if takes == coreRoll {
 		return entry.Fraction * float64(b.site.coreCount) * (entry.GapS + rollStepS)
@@ -60,8 +61,8 @@
 	return entry.ForS
 }
 
-// machines returns how much of the budget of machines the entry takes. The loss of a zone takes all of it, as it
-// may not fall together with another one; so does one that hits all machines.
+// machines returns the number of machines of the budget that the entry takes. The loss of a zone takes the whole
+// budget because it must not coincide with another loss; an entry that affects all machines takes it too.
 func (b *budget) machines(takes loss, entry fault) int {
 	if takes == machineLoss {
 		return max(1, entry.Count)
@@ -69,7 +70,7 @@
 	return b.site.machines
 }
 
-// lostDuring returns the most machines that are lost at some moment of the span.
+// lostDuring returns the maximum number of machines lost at the same time during the span.
 func (b *budget) lostDuring(wanted lossSpan) int {
 	worst := 0
 	for _, start := range append([]lossSpan{wanted}, b.spans...) {
@@ -90,7 +91,7 @@
 	return lost
 }
 
-// freeFrom returns the first moment, not before the given one, from which a machine may be lost again.
+// freeFrom returns the earliest time, not before the given one, from which the whole budget is free.
 func (b *budget) freeFrom(moment float64) float64 {
 	free := moment
 	for _, span := range b.spans {
--- a/internal/tools/drawdays/day.go
+++ b/internal/tools/drawdays/day.go
@@ -1,22 +1,22 @@
 package main
 
-// fault is one entry of a day: a planned step or a fault. Which fields count depends on its kind.
+// fault is one entry of a day: a planned operation or a fault. Its kind determines which fields are used.
 type fault struct {
-	At       float64 `toml:"at"` // seconds from the first request
+	At       float64 `toml:"at"` // seconds since the first request; negative: before it
 	Kind     string  `toml:"kind"`
-	How      string  `toml:"how,omitempty"` // words that choose the variant
-	On       string  `toml:"on,omitempty"`  // class of machines
+	How      string  `toml:"how,omitempty"` // space-separated words that select the form
+	On       string  `toml:"on,omitempty"`  // machine class
 	ForS     float64 `toml:"for_s,omitempty"`
 	GapS     float64 `toml:"gap_s,omitempty"` // pause between steps, in seconds
-	Fraction float64 `toml:"share,omitempty"` // part of the things that fit
-	Count    int     `toml:"count,omitempty"` // a number of them instead
-	X        float64 `toml:"x,omitempty"`     // strength; its meaning is the kind's
+	Fraction float64 `toml:"share,omitempty"` // fraction of the eligible targets
+	Count    int     `toml:"count,omitempty"` // number of targets, instead of a fraction
+	X        float64 `toml:"x,omitempty"`     // strength; its meaning depends on the kind
 	Zone     string  `toml:"zone,omitempty"`
 	ToZone   string  `toml:"to_zone,omitempty"`
 	planned  bool
 }
 
-// closing is the fault at the end of a day, right after one more acknowledged change.
+// closing is the fault at the end of a day, immediately after a last acknowledged change.
 type closing struct {
 	Kind  string  `toml:"kind"`
 	How   string  `toml:"how,omitempty"`
@@ -33,7 +33,7 @@
 	Faults  []fault  `toml:"faults"`
 }
 
-// add files the trouble under planned work or faults.
+// add appends the entry to the planned operations or to the faults.
 func (d *day) add(added fault) {
 	if added.planned {
 		d.Plan = append(d.Plan, added)
--- a/internal/tools/drawdays/draw.go
+++ b/internal/tools/drawdays/draw.go
@@ -9,37 +9,37 @@
 
 const (
 	crossingsPerDay   = 4
-	timesPerDay       = 2  // how often a crossing is tried in a day
-	placementAttempts = 20 // places tried before an entry that takes budget is left out
+	timesPerDay       = 2  // number of times that each crossing of a day is scheduled
+	placementAttempts = 20 // times tried before an entry that takes budget is omitted
 	startMargin       = 0.5
-	endMargin         = 2.0 // seconds before the end in which no entry starts
+	endMargin         = 2.0 // seconds before the end of the day in which no crossing starts
 	closingFraction   = 0.75
 	maximumSeed       = 1 << 40
 )
 
-// limits are the figures of a site that bound its days.
+// limits are the values of a site that limit its days.
 type limits struct {
 	lengthS   float64
-	leadS     float64 // from the start of the machines to the first request
-	syncS     float64 // how long a machine counts as lost after it is back
-	machines  int     // of those that count, that may be lost at once
-	zones     int     // that may be lost at once
+	leadS     float64 // seconds from the start of the machines to the first request
+	syncS     float64 // seconds for which a machine still counts as lost after its return
+	machines  int     // number of machines in the fault budget that may be lost at once
+	zones     int     // number of zones that may be lost at once
 	coreCount int
 }
 
-// drawer draws days for a site; the same seed gives the same days.
+// drawer generates days for a site; the same seed generates the same days.
 type drawer struct {
 	random *rand.Rand
 	site   limits
-	decks  map[string][]variant // what is still to be crossed, by point
-	budget budget               // of the day being drawn
+	decks  map[string][]variant // shuffled variants still to be used as crossings, by point name
+	budget budget               // fault budget of the day being generated
 }
 
 func newDrawer(seed uint64, site limits) *drawer {
 	return &drawer{random: rand.New(rand.NewPCG(seed, 0)), site: site, decks: map[string][]variant{}}
 }
 
-// days draws the number of days for each of the points.
+// days generates perPoint days for each of the points.
 func (d *drawer) days(chosen []point, perPoint int) []day {
 	var drawn []day
 	for number := range perPoint {
@@ -50,7 +50,7 @@
 	return drawn
 }
 
-// day draws the entries of a point, and then the next crossings that are due for it.
+// day generates the entries of the point, then its next crossings.
 func (d *drawer) day(current point, number int) day {
 	d.budget = newBudget(d.site)
 	drawn := day{
@@ -76,7 +76,7 @@
 	return drawn
 }
 
-// nextCrossing deals the variants in a random order, each once before any comes again.
+// nextCrossing returns the variants in random order, each of them once before any is repeated.
 func (d *drawer) nextCrossing(pointName string) variant {
 	deck := d.decks[pointName]
 	if len(deck) == 0 {
@@ -87,7 +87,8 @@
 	return deck[0]
 }
 
-// scheduleRandomly adds the variant at a random time before the latest, if the fault budget leaves one.
+// scheduleRandomly adds the variant at a random time before latest. It omits the variant if the fault budget allows
+// none of placementAttempts times.
 func (d *drawer) scheduleRandomly(into *day, form variant, latest float64) {
 	for range placementAttempts {
 		at := d.between(span{startMargin, latest})
@@ -97,7 +98,8 @@
 	}
 }
 
-// scheduleAt adds the variant at the time and reports whether the fault budget allows it.
+// scheduleAt adds the variant at the time if the fault budget allows it, and reports whether it did. A loss of several
+// machines is reduced to one machine if the budget does not allow more.
 func (d *drawer) scheduleAt(into *day, form variant, at float64) bool {
 	entry := d.entry(form, at)
 	if !d.budget.allowsRemoval(form.removes, entry) {
@@ -116,7 +118,7 @@
 	return true
 }
 
-// entry draws the fields that the variant takes.
+// entry generates an entry with random values for the fields that the variant takes.
 func (d *drawer) entry(form variant, at float64) fault {
 	entry := fault{
 		At: roundToHundredths(at), Kind: form.kind, How: form.how, On: form.on, planned: form.planned,
@@ -156,7 +158,6 @@
 	return drawn
 }
 
-// roundToHundredths keeps hundredths.
 func roundToHundredths(value float64) float64 {
 	const hundredths = 100
 	return math.Round(value*hundredths) / hundredths
--- a/internal/tools/drawdays/drawdays_test.go
+++ b/internal/tools/drawdays/drawdays_test.go
@@ -16,7 +16,7 @@
 
 const seedsTried = 40
 
-// siteLimits are those of a small and of a large site.
+// siteLimits are the limits of sites of different sizes and fault budgets.
 var siteLimits = []limits{
 	{lengthS: 34, leadS: 10, syncS: 4, machines: 1, coreCount: 5, zones: 1},
 	{lengthS: 34, leadS: 10, syncS: 4, machines: 1, coreCount: 3, zones: 1},
@@ -25,7 +25,7 @@
 	{lengthS: 34, leadS: 10, syncS: 4, machines: 0, coreCount: 2, zones: 0},
 }
 
-// knownKinds are the kinds of trouble that the bench lists, of all sites together.
+// knownKinds are all kinds of faults and planned operations that the bench defines for any site.
 var knownKinds = strings.Fields(`shift srv_crash srv_grey srv_lying_health srv_flap release cold_return answer_lost
 	garble node_kill roll_term after_ack_kill after_ack_wipe disk_full core_cut config_change config_storm
 	config_race big_config evacuate burst retry_abuse give_up srv_slow srv_cut replace_with_reuse scale_out scale_in
@@ -62,7 +62,8 @@
 	})
 }
 
-// TestFaultBudgetIsKept counts anew, from the drawn entries alone, how many counted machines are lost at once.
+// TestFaultBudgetIsKept computes the number of machines lost at once from the generated entries alone, independently of
+// the budget's own records.
 func TestFaultBudgetIsKept(t *testing.T) {
 	taking := takenBudget()
 	forEachDay(t, func(t *testing.T, site limits, drawn day) {
@@ -90,7 +91,7 @@
 	})
 }
 
-// TestEnoughIsLeft holds that no day takes the servers, the edge or the core's majority away for good.
+// TestEnoughIsLeft checks that no day permanently removes too many servers or edge machines, or any core machine.
 func TestEnoughIsLeft(t *testing.T) {
 	forEachDay(t, func(t *testing.T, site limits, drawn day) {
 		edges, servers, core := 0.0, 0.0, 0
@@ -112,7 +113,7 @@
 
 func formOf(kind, how, on string) string { return kind + "/" + how + "/" + on }
 
-// takenBudget says by form which loss it brings; forms of the points are found by kind alone.
+// takenBudget returns the loss of each form in allVariants and partitionVariants. Forms that only points use are missing.
 func takenBudget() map[string]loss {
 	found := map[string]loss{}
 	for _, form := range append(allVariants(), partitionVariants(span{1, 1})...) {
--- a/internal/tools/drawdays/limits.go
+++ b/internal/tools/drawdays/limits.go
@@ -7,7 +7,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// siteFigures are the fields of a site file that bound its days.
+// siteFigures are the fields of a site file that limit the days to generate.
 type siteFigures struct {
 	LeadS   float64 `toml:"lead_s"`
 	LengthS float64 `toml:"length_s"`
@@ -24,21 +24,21 @@
 	} `toml:"machines"`
 }
 
-// MissingFigureError tells that a site file lacks a figure that days can't be drawn without.
+// MissingFigureError reports that a site file lacks a field that is required to generate days.
 type MissingFigureError struct{ Figure string }
 
-// Error names the figure.
-func (e *MissingFigureError) Error() string { return fmt.Sprintf("the site has no %s", e.Figure) }
+// Error implements error.
+func (e *MissingFigureError) Error() string { return fmt.Sprintf("the site has no valid %s", e.Figure) }
 
-// limitsOf reads the limits out of a decoded site.
+// limitsOf extracts the limits from a decoded site file.
 func limitsOf(site map[string]any) (limits, error) {
 	content, err := toml.Marshal(site)
 	if err != nil {
-		return limits{}, errors.Wrap(err, "reading the site's figures")
+		return limits{}, errors.Wrap(err, "encode the site to read its limits")
 	}
 	var figures siteFigures
 	if err := toml.Unmarshal(content, &figures); err != nil {
-		return limits{}, errors.Wrap(err, "reading the site's figures")
+		return limits{}, errors.Wrap(err, "decode the limits of the site")
 	}
 	if figures.LengthS <= 0 {
 		return limits{}, errors.WithStack(&MissingFigureError{Figure: "length_s"})
--- a/internal/tools/drawdays/main.go
+++ b/internal/tools/drawdays/main.go
@@ -1,11 +1,13 @@
-// Command drawdays makes days for the bench out of a seed, so that a hunt can go on with fresh ones.
+// Command drawdays generates random days for the bench from a seed, so that a search for faults can continue with new
+// days.
 //
 //	drawdays SITE OUTPUT-FOLDER --seed 7 --per-point 8
 //
-// Each day is about one of five points (see points.go) and crosses it with every other kind of trouble in turn, in
-// every form that the bench names, each of them twice in its day where the fault budget leaves room. The new site
-// file holds the drawn days in place of its own; the files that must stand beside it are copied. It can be played by
-// score, hunt and run. OUTPUT-FOLDER should lie outside the repository.
+// Each day tests one of five points (see points.go) and combines it with other kinds of faults, the crossings. The
+// days of a point go through all kinds in all forms that the bench defines; a day has each of its crossings twice if
+// the fault budget permits. The new site file contains the drawn days instead of the original ones; the required
+// companion files are copied. The bench's commands score, hunt and run accept it. OUTPUT-FOLDER should be outside the
+// repository.
 package main
 
 import (
@@ -18,22 +20,22 @@
 	"fieldrelay/internal/tools/sitefile"
 )
 
-// contractsOfCrossings are the parts of the rules that some kinds need to be open.
+// contractsOfCrossings are the optional parts of the rules that some kinds of faults require to be enabled.
 var contractsOfCrossings = []string{"health", "pool"}
 
 type command struct {
-	Site     string   `arg:"" help:"Site file to draw days for."`
+	Site     string   `arg:"" help:"Site file to generate days for."`
 	Output   string   `arg:"" help:"Folder for the new site file, outside the repository."`
-	Seed     uint64   `help:"Seed; the same one gives the same days." required:""`
-	PerPoint int      `help:"Days for each point." default:"8"`
-	Points   []string `help:"Points that days are drawn about; all if none is named."`
-	LengthS  float64  `help:"Length of the days in seconds; 0 keeps the site's." default:"0"`
+	Seed     uint64   `help:"Seed; the same seed generates the same days." required:""`
+	PerPoint int      `help:"Number of days for each point." default:"8"`
+	Points   []string `help:"Points to generate days for; default: all."`
+	LengthS  float64  `help:"Length of the days in seconds; 0: length in the site file." default:"0"`
 }
 
 func main() {
 	var options command
 	parsed := kong.Parse(&options, kong.Name("drawdays"), kong.UsageOnError(),
-		kong.Description("Draws days for the bench out of a seed."))
+		kong.Description("Generates random days for the bench from a seed."))
 	path, err := drawSite(options)
 	parsed.FatalIfErrorf(err)
 	fmt.Println(path)
@@ -78,13 +80,13 @@
 	return chosen, nil
 }
 
-// UnknownPointError tells that days can't be drawn about a point of that name.
+// UnknownPointError reports that no point has the requested name.
 type UnknownPointError struct{ Name string }
 
-// Error names the point.
+// Error implements error.
 func (e *UnknownPointError) Error() string { return fmt.Sprintf("unknown point %q", e.Name) }
 
-// openContracts adds the parts of the rules that the crossings need.
+// openContracts enables the parts of the rules that the crossings require.
 func openContracts(site map[string]any) {
 	open, _ := site["contracts"].([]any)
 	for _, wanted := range contractsOfCrossings {
--- a/internal/tools/drawdays/points.go
+++ b/internal/tools/drawdays/points.go
@@ -1,6 +1,6 @@
 package main
 
-// point is one of the things that days are drawn about: its entries come first, crossings are laid over them.
+// point is a scenario that days are generated for: its entries are scheduled first, the crossings after them.
 type point struct {
 	name string
 	draw func(*drawer, *day)
@@ -8,11 +8,11 @@
 
 const (
 	longPartitionS = 20.0
-	afterSync      = 0.05 // seconds after the fault budget is free again
-	plannedStepS   = 3.0  // between the planned entries that follow one another
+	afterSync      = 0.05 // seconds between the release of the fault budget and the next loss
+	plannedStepS   = 3.0  // latest start of the release of the servers, in seconds
 )
 
-// allPoints lists what days can be drawn about, in the order of docs/design/control-review.md.
+// allPoints lists all points, in the order of docs/design/control-review.md.
 func allPoints() []point {
 	return []point{
 		{"cut", drawLongPartition},
@@ -23,7 +23,8 @@
 	}
 }
 
-// drawLongPartition cuts a machine off for twenty seconds while orders come in, at times from before the first request.
+// drawLongPartition cuts off a machine for twenty seconds while changes arrive. In some days the partition starts before
+// the first request.
 func drawLongPartition(d *drawer, into *day) {
 	cuts := partitionVariants(span{longPartitionS, longPartitionS})
 	cut := cuts[d.random.IntN(len(cuts))]
@@ -42,8 +43,8 @@
 	}
 }
 
-// precede lets another loss come before the cut, and returns when the cut may follow: straight after a machine
-// that joined, or in the election that a kill brought about where the budget bears both.
+// precede schedules another loss before the partition and returns the time at which the partition may start: right
+// after a new machine has joined, or, if the budget allows both losses, during the election that a kill causes.
 func (d *drawer) precede(into *day, start float64) float64 {
 	first := variant{kind: "replace_core", how: d.oneOf("", "planned", "oldest"), x: span{0.3, 0.3},
 		takes: machineLoss, planned: true}
@@ -63,7 +64,7 @@
 	return d.budget.freeFrom(startMargin) + afterSync
 }
 
-// ordersDuring keeps the operator busy through the span, with some of the answers lost.
+// ordersDuring schedules changes by the operator during the time span; in some days, acknowledgements are lost.
 func (d *drawer) ordersDuring(into *day, from, length float64) {
 	storm := variant{kind: "config_storm", forS: span{length, length}, gapS: span{0.2, 0.8}, planned: true}
 	races := variant{kind: "config_race", count: span{4, 12}, gapS: span{0.4, 1.5}, planned: true}
@@ -78,7 +79,8 @@
 	}
 }
 
-// drawRaces has changes race, storm and be repeated, and zones be evacuated, while machines are killed or rolled.
+// drawRaces schedules concurrent, frequent and repeated changes and evacuations of zones while machines are killed or
+// restarted.
 func drawRaces(d *drawer, into *day) {
 	length := d.site.lengthS
 	races := variant{kind: "config_race", count: span{5, 15}, gapS: span{0.2, 0.7}, planned: true}
@@ -96,7 +98,7 @@
 	d.scheduleRandomly(into, kill, length-endMargin)
 }
 
-// drawSecondLoss lets losses follow one another as soon as the fault budget is free again, through the whole day.
+// drawSecondLoss schedules a loss whenever the fault budget is free again, throughout the day.
 func drawSecondLoss(d *drawer, into *day) {
 	losses := []variant{
 		{kind: "after_ack_wipe", forS: span{0.2, 1}, count: oneOrMore, takes: machineLoss},
@@ -126,7 +128,8 @@
 		DownS: d.between(span{0.3, 1})}
 }
 
-// scheduleOneOf adds one of the variants at the time, and reports whether the fault budget allows any.
+// scheduleOneOf adds a random one of the variants that the fault budget allows at the time, and reports whether there is
+// one.
 func (d *drawer) scheduleOneOf(into *day, forms []variant, at float64) bool {
 	for _, index := range d.random.Perm(len(forms)) {
 		if d.scheduleAt(into, forms[index], at) {
@@ -136,7 +139,7 @@
 	return false
 }
 
-// drawManyChanges brings hundreds of changes while machines are away for long, and then a loss.
+// drawManyChanges schedules hundreds of changes during long outages of machines, and then a loss.
 func drawManyChanges(d *drawer, into *day) {
 	length := d.site.lengthS
 	d.scheduleAt(into, variant{kind: "big_config", count: span{100, 1100}, planned: true}, startMargin)
@@ -163,7 +166,8 @@
 		takes: machineLoss}, min(after, length-1))
 }
 
-// drawServers has servers misbehave in several ways at once while servers and machines are renewed.
+// drawServers schedules several kinds of server faults at once during a release of the servers and planned restarts of
+// machines.
 func drawServers(d *drawer, into *day) {
 	ill := serverVariants()
 	for range 5 {
--- a/internal/tools/drawdays/variants.go
+++ b/internal/tools/drawdays/variants.go
@@ -3,27 +3,27 @@
 // span is a range of values to draw from; the zero span leaves the field out.
 type span struct{ from, to float64 }
 
-// loss says what part of the fault budget an entry takes.
+// loss is the part of the fault budget that an entry takes.
 type loss int
 
 const (
 	noLoss      loss = iota
-	machineLoss      // machines that count, down or cut off
+	machineLoss      // machines that count towards the fault budget, down or cut off
 	zoneLoss         // a whole zone
-	coreRoll         // machines that count, one after another by planned restarts
-	coreHerd         // all machines that count at once, disks kept
+	coreRoll         // machines that count towards the fault budget, one after another, by planned restarts
+	coreHerd         // all machines that count towards the fault budget at once, with their disks intact
 )
 
-// removal says of which things the entry's share is gone for good.
+// removal is the group of targets of which the entry permanently removes a fraction.
 type removal int
 
 const (
 	removesNone removal = iota
 	removesServers
-	removesEdges // machines that don't count for the fault budget
+	removesEdges // machines that don't count towards the fault budget
 )
 
-// variant is one kind of trouble in one of its forms, with the fields that it takes.
+// variant is one kind of fault or planned operation in one of its forms, with the fields that it takes.
 type variant struct {
 	kind     string
 	how      string
@@ -34,11 +34,11 @@
 	count    span
 	x        span
 	takes    loss
-	removes  removal // what doesn't come back
+	removes  removal // group of targets that is permanently removed
 	planned  bool
 }
 
-// Forms that an entry on machines can have: which machine is hit, and what is done as it comes back.
+// Words of the form of an entry that affects machines: the machine that is affected, and what happens at its return.
 var (
 	targets = []string{"", "leader", "reader", "seed", "turn"}
 	returns = []string{"", "meet", "race", "hard", "drain", "meet drain", "race hard"}
@@ -50,10 +50,10 @@
 	most      = span{from: 0.5, to: 1}
 	seconds   = span{from: 2, to: 7}
 	brief     = span{from: 0.2, to: 2}
-	oneOrMore = span{from: 1, to: 1} // the draw raises it to the site's budget
+	oneOrMore = span{from: 1, to: 1} // entry draws a count up to the site's budget
 )
 
-// allVariants lists every kind of trouble with every form that the bench names for it.
+// allVariants lists every kind of fault and planned operation in every form that the bench defines for it.
 func allVariants() []variant {
 	var all []variant
 	for _, part := range [][]variant{serverVariants(), trafficVariants(), edgeVariants(), coreVariants(),
@@ -63,7 +63,7 @@
 	return all
 }
 
-// withForms copies the variant once for each form.
+// withForms returns a copy of the variant for each form.
 func withForms(base variant, forms ...string) []variant {
 	var made []variant
 	for _, form := range forms {
@@ -104,7 +104,7 @@
 	return append(all, fleetVariants()...)
 }
 
-// fleetVariants are planned changes of the servers.
+// fleetVariants are changes of the set or version of the servers.
 func fleetVariants() []variant {
 	var all []variant
 	all = append(all, variant{kind: "release", fraction: most, x: span{1, 3}, gapS: span{0.4, 1.2}, planned: true})
@@ -123,7 +123,7 @@
 	}
 }
 
-// edgeVariants hit machines that don't count for the fault budget.
+// edgeVariants affect machines that don't count towards the fault budget.
 func edgeVariants() []variant {
 	var all []variant
 	all = append(all, withForms(variant{kind: "node_kill", fraction: half, forS: seconds}, "", "power", "turn")...)
@@ -161,7 +161,8 @@
 	return append(all, partitionVariants(span{1, 5})...)
 }
 
-// partitionVariants cuts machines that count off for a time within the span, in every form.
+// partitionVariants returns every form of a partition that cuts off machines that count towards the fault budget, for a
+// time within the span.
 func partitionVariants(lasting span) []variant {
 	cut := variant{kind: "core_cut", count: oneOrMore, forS: lasting, takes: machineLoss}
 	return withForms(cut, "", "all", "near", "oldest", "one_way", "seeds", "both", "lure", "reset", "refuse",
@@ -189,7 +190,7 @@
 	return all
 }
 
-// orderVariants are the operator's orders, and troubles with their answers.
+// orderVariants are the operator's changes, and faults of their acknowledgements.
 func orderVariants() []variant {
 	var all []variant
 	change := variant{kind: "config_change", planned: true}
@@ -206,8 +207,8 @@
 	return all
 }
 
-// rollVariants are planned restarts. The bench has no machine that counts leave for good by them: those are renewed by
-// replace_core alone.
+// rollVariants are planned restarts. In the bench, a planned restart never permanently removes a machine that counts
+// towards the fault budget; only replace_core replaces such machines.
 func rollVariants() []variant {
 	var all []variant
 	edge := variant{kind: "roll_term", fraction: most, x: span{1, 2}, gapS: span{0.4, 1.3}, planned: true}
