--- a/bench/transport/main.go
+++ b/bench/transport/main.go
@@ -22,8 +22,8 @@
 // without any load, each of the sixteen clients has one, and each of the three
 // nodes no more than there are clients.
 const (
-	mostRatio       = 0.9
-	mostDescriptors = 80
+	maxRatio       = 0.9
+	maxDescriptors = 80
 )
 
 func main() {
@@ -43,8 +43,8 @@
 	flag.DurationVar(&o.warm, "warm", 200*time.Millisecond, "load before each measurement")
 	flag.DurationVar(&o.length, "for", time.Second, "each measurement")
 	flag.BoolVar(&o.alike, "alike", true, "all answers are alike; else each has its request's id")
-	ratio := flag.Float64("ratio", mostRatio, "of processor time to that of ReverseProxy, at the most")
-	descriptors := flag.Int("descriptors", mostDescriptors, "open at the most")
+	ratio := flag.Float64("ratio", maxRatio, "of processor time to that of ReverseProxy, at the most")
+	descriptors := flag.Int("descriptors", maxDescriptors, "open at the most")
 	flag.Parse()
 	if *serve != "" {
 		return serveProxy(*serve, flag.Args())
@@ -57,7 +57,7 @@
 		}
 		programs = append(programs, program{name: name, sidecar: path})
 	}
-	held := programs[len(programs)-1].name
+	limited := programs[len(programs)-1].name
 	for _, kind := range proxyKinds {
 		programs = append(programs, program{name: kind})
 	}
@@ -65,16 +65,16 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(report(programs, seen, held, *ratio, *descriptors)...)
+	return errors.Join(report(programs, seen, limited, *ratio, *descriptors)...)
 }
 
 // report prints the medians and tells which bounds are broken. The ratio is the median of those of each round.
-func report(programs []program, seen map[string][]sample, held string, ratio float64, descriptors int) (broken []error) {
+func report(programs []program, seen map[string][]sample, limited string, ratio float64, descriptors int) (broken []error) {
 	fmt.Printf("%-14s %10s %8s %12s %12s %12s %10s\n", "median of", "us/request", "ratio", "descriptors", "connections", "requests/s", "unserved")
 	for _, p := range programs {
 		samples := seen[p.name]
 		cost := median(samples, sample.microseconds)
-		beside := median(beside(samples, seen[reverseProxy]), func(ratio float64) float64 { return ratio })
+		costRatio := median(costRatios(samples, seen[reverseProxy]), func(ratio float64) float64 { return ratio })
 		open := median(samples, func(s sample) float64 { return float64(s.descriptors) })
 		rate := median(samples, func(s sample) float64 { return float64(s.served) / s.took.Seconds() })
 		last := samples[len(samples)-1]
@@ -82,22 +82,22 @@
 		for _, s := range samples {
 			unserved += s.other
 		}
-		fmt.Printf("%-14s %10.1f %8.2f %12.0f %12d %12.0f %10d\n", p.name, cost, beside, open, last.opened, rate, unserved)
-		if p.name != held {
+		fmt.Printf("%-14s %10.1f %8.2f %12.0f %12d %12.0f %10d\n", p.name, cost, costRatio, open, last.opened, rate, unserved)
+		if p.name != limited {
 			continue
 		}
-		if beside > ratio {
-			broken = append(broken, fmt.Errorf("%s: processor time a request is %.2f of that of ReverseProxy, over %.2f", held, beside, ratio))
+		if costRatio > ratio {
+			broken = append(broken, fmt.Errorf("%s: processor time a request is %.2f of that of ReverseProxy, over %.2f", limited, costRatio, ratio))
 		}
 		if open > float64(descriptors) {
-			broken = append(broken, fmt.Errorf("%s: %.0f descriptors are open, over %d", held, open, descriptors))
+			broken = append(broken, fmt.Errorf("%s: %.0f descriptors are open, over %d", limited, open, descriptors))
 		}
 	}
 	return broken
 }
 
-// beside is the processor time of each round by that of the other program in it.
-func beside(samples, others []sample) (ratios []float64) {
+// costRatios is the processor time of each round by that of the other program in it.
+func costRatios(samples, others []sample) (ratios []float64) {
 	for i, s := range samples {
 		ratios = append(ratios, s.microseconds()/others[i].microseconds())
 	}
--- a/bench/transport/measure.go
+++ b/bench/transport/measure.go
@@ -95,7 +95,7 @@
 // measure loads the program, and looks at its processor time and descriptors
 // while the load goes on.
 func (s subject) measure(o options) (seen sample, err error) {
-	load := startLoad(s.process.front, o.clients)
+	load := startLoad(s.process.address, o.clients)
 	defer load.stop()
 	time.Sleep(o.warm)
 	before, begun := load.counts(), time.Now()
@@ -126,10 +126,10 @@
 
 func (l *load) counts() counts { return counts{l.served.Load(), l.other.Load()} }
 
-func startLoad(front string, clients int) *load {
+func startLoad(address string, clients int) *load {
 	l := &load{ended: make(chan struct{})}
 	for i := range clients {
-		l.clients.Go(func() { l.client(front, i) })
+		l.clients.Go(func() { l.client(address, i) })
 	}
 	return l
 }
@@ -139,10 +139,10 @@
 	l.clients.Wait()
 }
 
-const patience = 2 * time.Second
+const requestTimeout = 2 * time.Second
 
-func (l *load) client(front string, number int) {
-	client := &fasthttp.HostClient{Addr: front, MaxConns: 1, NoDefaultUserAgentHeader: true, ReadTimeout: patience}
+func (l *load) client(address string, number int) {
+	client := &fasthttp.HostClient{Addr: address, MaxConns: 1, NoDefaultUserAgentHeader: true, ReadTimeout: requestTimeout}
 	defer client.CloseIdleConnections()
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	for n := 0; ; n++ {
@@ -151,10 +151,10 @@
 			return
 		default:
 		}
-		request.SetRequestURI("http://" + front + "/look")
+		request.SetRequestURI("http://" + address + "/look")
 		request.Header.Set("X-Call-Id", fmt.Sprintf("c%d-%d", number, n))
 		request.Header.Set("X-Budget", "2")
-		if err := client.DoTimeout(request, response, patience); err == nil && response.StatusCode() == fasthttp.StatusOK {
+		if err := client.DoTimeout(request, response, requestTimeout); err == nil && response.StatusCode() == fasthttp.StatusOK {
 			l.served.Add(1)
 		} else {
 			l.other.Add(1)
--- a/bench/transport/process.go
+++ b/bench/transport/process.go
@@ -21,10 +21,10 @@
 
 // process is a program that runs.
 type process struct {
-	cmd   *exec.Cmd
-	front string // host:port for clients
-	dir   string
-	log   *os.File
+	cmd     *exec.Cmd
+	address string // host:port for clients
+	dir     string
+	log     *os.File
 }
 
 // settings of the sidecar: one core, and a class that may be repeated.
@@ -34,11 +34,11 @@
  "limits":{"send_cap":6,"may_cancel":true,"parallel_tries":false,"retry_after":true,"max_retry_after_ms":3000,
  "conn_idle_ms":30000,"dial_timeout_ms":120}}`
 
-const startBound = 20 * time.Second
+const startTimeout = 20 * time.Second
 
 // start runs the program and waits until it serves.
 func (p program) start(nodes *nodes) (*process, error) {
-	front, err := freeAddress()
+	address, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	process := &process{front: front, dir: dir}
+	process := &process{address: address, dir: dir}
 	if process.log, err = os.Create(filepath.Join(dir, "log")); err != nil {
 		_ = os.RemoveAll(dir)
 		return nil, err
@@ -73,13 +73,13 @@
 		if err != nil {
 			return nil, err
 		}
-		cmd := exec.Command(self, append([]string{"-serve", p.name, process.front}, nodes.addresses()...)...)
+		cmd := exec.Command(self, append([]string{"-serve", p.name, process.address}, nodes.addresses()...)...)
 		cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
 		return cmd, nil
 	}
 	file := filepath.Join(process.dir, "config.json")
 	text := fmt.Sprintf(`{"name":"bench","listen":%q,"discovery":%q,"limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"generation":0,"reset":true,"instances":[]},"settings":%s}`,
-		process.front, nodes.discovery.Addr(), settings)
+		process.address, nodes.discovery.Addr(), settings)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
@@ -91,8 +91,8 @@
 // ready waits until a request is served.
 func (p *process) ready() error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for begun := time.Now(); time.Since(begun) < startBound; time.Sleep(10 * time.Millisecond) {
-		request, err := http.NewRequest(http.MethodGet, "http://"+p.front+"/look", nil)
+	for begun := time.Now(); time.Since(begun) < startTimeout; time.Sleep(10 * time.Millisecond) {
+		request, err := http.NewRequest(http.MethodGet, "http://"+p.address+"/look", nil)
 		if err != nil {
 			return err
 		}
--- a/bench/transport/proxies.go
+++ b/bench/transport/proxies.go
@@ -21,9 +21,9 @@
 
 var proxyKinds = []string{reverseProxy, fasthttpProxy}
 
-// keptIdle is how many idle connections a plain proxy keeps to a node: enough
+// maxConnsPerNode is how many idle connections a plain proxy keeps to a node: enough
 // for all clients.
-const keptIdle = 64
+const maxConnsPerNode = 64
 
 // serveProxy serves until the process is ended. The first argument is the
 // address to listen at, the others are the nodes.
@@ -36,7 +36,7 @@
 	next := func() int { return int(turn.Add(1) % uint64(len(nodes))) }
 	switch kind {
 	case reverseProxy:
-		transport := &http.Transport{MaxIdleConnsPerHost: keptIdle, DisableCompression: true}
+		transport := &http.Transport{MaxIdleConnsPerHost: maxConnsPerNode, DisableCompression: true}
 		proxy := &httputil.ReverseProxy{
 			Transport: transport,
 			ErrorLog:  log.New(io.Discard, "", 0),
@@ -48,7 +48,7 @@
 	case fasthttpProxy:
 		clients := make([]*fasthttp.HostClient, len(nodes))
 		for i, node := range nodes {
-			clients[i] = &fasthttp.HostClient{Addr: node, MaxConns: keptIdle}
+			clients[i] = &fasthttp.HostClient{Addr: node, MaxConns: maxConnsPerNode}
 		}
 		return fasthttp.ListenAndServe(listen, func(ctx *fasthttp.RequestCtx) {
 			if err := clients[next()].Do(&ctx.Request, &ctx.Response); err != nil {
