--- a/bench/transport/main.go
+++ b/bench/transport/main.go
@@ -1,8 +1,10 @@
-// Command transport measures what a request costs a sidecar beside two plain
-// proxies, on one core: processor time, open descriptors and connections
-// opened to execute nodes. All of them serve the same keep-alive clients with
-// the same instant execute nodes, in turn in one run, so that a busy machine
-// weighs on each alike. It fails where the last sidecar named is over a bound.
+// Command transport measures the cost of a request in a sidecar and in two
+// plain proxies, on one core: CPU time, open file descriptors and connections
+// opened to execute nodes. All programs get the same load of keep-alive
+// clients and use equal execute nodes that answer immediately. They are
+// measured alternately in one run so that other load on the machine affects
+// all of them equally. The command fails if the last sidecar named exceeds a
+// limit.
 //
 //	go run ./bench/transport -sidecars before=OLD/bin/fieldrelay,now=bin/fieldrelay
 //	go run ./bench/transport -sidecars now=bin/fieldrelay -alike=false -rounds 7
@@ -18,9 +20,9 @@
 	"time"
 )
 
-// The bounds that hold by default. A dozen descriptors belong to a sidecar
-// without any load, each of the sixteen clients has one, and each of the three
-// nodes no more than there are clients.
+// Default limits. A sidecar without load has a dozen open descriptors; each of
+// the sixteen clients adds one, and each of the three nodes at most as many as
+// there are clients.
 const (
 	maxRatio       = 0.9
 	maxDescriptors = 80
@@ -35,16 +37,16 @@
 
 func run() error {
 	var o options
-	serve := flag.String("serve", "", "be a plain proxy of this kind for the rest of the arguments (used by the program itself)")
-	sidecars := flag.String("sidecars", "now=bin/fieldrelay", "name=program, separated by commas; the last one is held to the bounds")
-	flag.IntVar(&o.clients, "clients", 16, "keep-alive clients")
-	flag.IntVar(&o.nodes, "nodes", 3, "instant execute nodes")
-	flag.IntVar(&o.rounds, "rounds", 15, "of all programs, in turn")
-	flag.DurationVar(&o.warm, "warm", 200*time.Millisecond, "load before each measurement")
-	flag.DurationVar(&o.length, "for", time.Second, "each measurement")
-	flag.BoolVar(&o.alike, "alike", true, "all answers are alike; else each has its request's id")
-	ratio := flag.Float64("ratio", maxRatio, "of processor time to that of ReverseProxy, at the most")
-	descriptors := flag.Int("descriptors", maxDescriptors, "open at the most")
+	serve := flag.String("serve", "", "run as a plain proxy of this kind with the remaining arguments (internal use)")
+	sidecars := flag.String("sidecars", "now=bin/fieldrelay", "list of name=program, separated by commas; the limits apply to the last one")
+	flag.IntVar(&o.clients, "clients", 16, "number of keep-alive clients")
+	flag.IntVar(&o.nodes, "nodes", 3, "number of execute nodes, which answer immediately")
+	flag.IntVar(&o.rounds, "rounds", 15, "number of rounds; each round measures every program once")
+	flag.DurationVar(&o.warm, "warm", 200*time.Millisecond, "duration of the load before each measurement")
+	flag.DurationVar(&o.length, "for", time.Second, "duration of each measurement")
+	flag.BoolVar(&o.alike, "alike", true, "send the same answer to all requests; if false, each answer contains the id of its request")
+	ratio := flag.Float64("ratio", maxRatio, "maximum ratio of CPU time per request to that of ReverseProxy")
+	descriptors := flag.Int("descriptors", maxDescriptors, "maximum number of open file descriptors")
 	flag.Parse()
 	if *serve != "" {
 		return serveProxy(*serve, flag.Args())
@@ -53,7 +55,7 @@
 	for _, entry := range strings.Split(*sidecars, ",") {
 		name, path, ok := strings.Cut(entry, "=")
 		if !ok {
-			return fmt.Errorf("%q is not name=program", entry)
+			return fmt.Errorf("sidecar %q: want name=program", entry)
 		}
 		programs = append(programs, program{name: name, sidecar: path})
 	}
@@ -68,7 +70,8 @@
 	return errors.Join(report(programs, seen, limited, *ratio, *descriptors)...)
 }
 
-// report prints the medians and tells which bounds are broken. The ratio is the median of those of each round.
+// report prints the medians and returns an error for each exceeded limit. The ratio is the median of the ratios of all
+// rounds.
 func report(programs []program, seen map[string][]sample, limited string, ratio float64, descriptors int) (broken []error) {
 	fmt.Printf("%-14s %10s %8s %12s %12s %12s %10s\n", "median of", "us/request", "ratio", "descriptors", "connections", "requests/s", "unserved")
 	for _, p := range programs {
@@ -87,16 +90,16 @@
 			continue
 		}
 		if costRatio > ratio {
-			broken = append(broken, fmt.Errorf("%s: processor time a request is %.2f of that of ReverseProxy, over %.2f", limited, costRatio, ratio))
+			broken = append(broken, fmt.Errorf("%s: ratio of CPU time per request to that of ReverseProxy is %.2f, limit %.2f", limited, costRatio, ratio))
 		}
 		if open > float64(descriptors) {
-			broken = append(broken, fmt.Errorf("%s: %.0f descriptors are open, over %d", limited, open, descriptors))
+			broken = append(broken, fmt.Errorf("%s: %.0f file descriptors are open, limit %d", limited, open, descriptors))
 		}
 	}
 	return broken
 }
 
-// costRatios is the processor time of each round by that of the other program in it.
+// costRatios returns, for each round, the ratio of the CPU time per request in samples to that in others.
 func costRatios(samples, others []sample) (ratios []float64) {
 	for i, s := range samples {
 		ratios = append(ratios, s.microseconds()/others[i].microseconds())
--- a/bench/transport/measure.go
+++ b/bench/transport/measure.go
@@ -16,30 +16,31 @@
 	"fieldrelay/internal/testkit/fakebackend"
 )
 
-// options are what all measurements of a run share.
+// options are the settings that all measurements of a run share.
 type options struct {
 	clients, nodes, rounds int
 	warm, length           time.Duration
 	alike                  bool
 }
 
-// sample is one measurement of one program.
+// sample is the result of one measurement of one program.
 type sample struct {
-	cpu         time.Duration // processor time of the process under load
+	cpu         time.Duration // CPU time of the process under load
 	took        time.Duration
 	served      int64
 	other       int64 // requests that were not served
-	descriptors int   // open at the end, under load
-	opened      int64 // connections to nodes since the process began
+	descriptors int   // number of open file descriptors at the end, under load
+	opened      int64 // number of connections to nodes since the start of the process
 }
 
+// microseconds returns the CPU time per served request.
 func (s sample) microseconds() float64 {
 	return float64(s.cpu.Microseconds()) / float64(max(1, s.served))
 }
 
-// measureAll starts all programs, each with nodes of its own, and then loads
-// one after the other for a short time, round after round: what else the
-// machine does in a round weighs on all of them.
+// measureAll starts all programs, each with its own nodes, and then measures
+// them one after the other for a short time in each round, so that other load
+// on the machine in a round affects all of them.
 func measureAll(o options, programs []program) (map[string][]sample, error) {
 	subjects, err := startAll(o, programs)
 	defer func() {
@@ -64,7 +65,7 @@
 	return seen, nil
 }
 
-// subject is a program that runs, with the nodes that it has.
+// subject is a running program with its nodes.
 type subject struct {
 	name    string
 	nodes   *nodes
@@ -92,8 +93,8 @@
 	return all, nil
 }
 
-// measure loads the program, and looks at its processor time and descriptors
-// while the load goes on.
+// measure puts load on the program and reads its CPU time and its number of
+// open descriptors while the load continues.
 func (s subject) measure(o options) (seen sample, err error) {
 	load := startLoad(s.process.address, o.clients)
 	defer load.stop()
@@ -114,8 +115,8 @@
 	return seen, errors.Join(err, err2)
 }
 
-// load is a number of clients, each of which asks again as soon as it has its
-// answer.
+// load is a closed-loop load: a number of clients, each of which sends its
+// next request as soon as the previous one is answered or has failed.
 type load struct {
 	served, other atomic.Int64
 	ended         chan struct{}
@@ -162,14 +163,14 @@
 	}
 }
 
-// nodes are instant execute nodes and the discovery that tells them.
+// nodes are execute nodes that answer immediately, and the discovery service that lists them.
 type nodes struct {
 	listeners []*countedListener
 	discovery *fakebackend.Discovery
-	opened    atomic.Int64 // connections taken
+	opened    atomic.Int64 // number of accepted connections
 }
 
-// processorTime of a process, of all threads that it has.
+// processorTime returns the CPU time of a process, summed over its current threads.
 func processorTime(pid int) (sum time.Duration, err error) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil {
--- a/bench/transport/nodes.go
+++ b/bench/transport/nodes.go
@@ -9,7 +9,7 @@
 	"fieldrelay/internal/testkit/fakebackend"
 )
 
-// countedListener counts the connections that it takes.
+// countedListener counts the connections that it accepts.
 type countedListener struct {
 	net.Listener
 	nodes *nodes
@@ -23,8 +23,8 @@
 	return nc, err
 }
 
-// startNodes starts execute nodes that answer at once: all alike, or each
-// request with its own id.
+// startNodes starts execute nodes that answer immediately: with the same body
+// to all requests if alike is true, otherwise with the id of the request.
 func startNodes(count int, alike bool) (*nodes, error) {
 	answer := func(ctx *fasthttp.RequestCtx) {
 		if alike {
--- a/bench/transport/process.go
+++ b/bench/transport/process.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// program is what is measured: a sidecar, or a plain proxy of the kind that
-// its name says.
+// program is a program to be measured: a sidecar, or a plain proxy whose kind
+// is its name.
 type program struct {
 	name    string
-	sidecar string // path; empty: a plain proxy
+	sidecar string // path of the sidecar binary; empty: a plain proxy
 }
 
-// process is a program that runs.
+// process is a running program.
 type process struct {
 	cmd     *exec.Cmd
-	address string // host:port for clients
+	address string // host:port that the program listens at for clients
 	dir     string
 	log     *os.File
 }
 
-// settings of the sidecar: one core, and a class that may be repeated.
+// settings are the sidecar's settings, with one class of requests that may be repeated.
 const settings = `{"tick_ms":5,"discovery":"subscribe","classes":[
  {"name":"look","effect":"free","aim_ms":500,"deadline_ms":2000,"late_worth":0.5}],
  "contract":{"ask_every_ms":10000,"cold_from":0.31,"cold_ms":1000,"drain_grace_ms":500,"grace_to_answer_ms":20},
@@ -36,7 +36,7 @@
 
 const startTimeout = 20 * time.Second
 
-// start runs the program and waits until it serves.
+// start starts the program and waits until it serves requests.
 func (p program) start(nodes *nodes) (*process, error) {
 	address, err := freeAddress()
 	if err != nil {
@@ -51,7 +51,7 @@
 		_ = os.RemoveAll(dir)
 		return nil, err
 	}
-	defer func() { _ = process.log.Close() }() // the program has its own copy
+	defer func() { _ = process.log.Close() }() // the started program has its own descriptor of the log
 	if process.cmd, err = p.command(process, nodes); err == nil {
 		process.cmd.Stderr = process.log
 		err = process.cmd.Start()
@@ -67,6 +67,7 @@
 	return process, nil
 }
 
+// command returns the command that runs the program on one core.
 func (p program) command(process *process, nodes *nodes) (*exec.Cmd, error) {
 	if p.sidecar == "" {
 		self, err := os.Executable()
@@ -88,7 +89,7 @@
 	return cmd, nil
 }
 
-// ready waits until a request is served.
+// ready waits until the program has served a request, at most startTimeout.
 func (p *process) ready() error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for begun := time.Now(); time.Since(begun) < startTimeout; time.Sleep(10 * time.Millisecond) {
@@ -107,12 +108,12 @@
 			return nil
 		}
 	}
-	return errors.New("does not serve")
+	return errors.New("program did not serve a request before the start timeout")
 }
 
 func (p *process) end() {
-	_ = p.cmd.Process.Kill() // it may have ended by itself
-	_ = p.cmd.Wait()         // killed, it always ends with an error
+	_ = p.cmd.Process.Kill() // the error is ignored: the process may have exited already
+	_ = p.cmd.Wait()         // the error is ignored: a killed process always ends with one
 	_ = os.RemoveAll(p.dir)
 }
 
--- a/bench/transport/proxies.go
+++ b/bench/transport/proxies.go
@@ -12,8 +12,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// The plain proxies that a sidecar is compared with. Each hands requests to
-// the nodes in turn and does nothing else.
+// Kinds of plain proxies that a sidecar is compared with. Each forwards
+// requests to the nodes round robin and does nothing else.
 const (
 	reverseProxy  = "reverseproxy"
 	fasthttpProxy = "fasthttp"
@@ -21,15 +21,16 @@
 
 var proxyKinds = []string{reverseProxy, fasthttpProxy}
 
-// maxConnsPerNode is how many idle connections a plain proxy keeps to a node: enough
-// for all clients.
+// maxConnsPerNode limits the idle connections to a node in the ReverseProxy and
+// all connections to a node in the fasthttp proxy. It exceeds the
+// default number of clients, so that each client can use a connection of its own.
 const maxConnsPerNode = 64
 
-// serveProxy serves until the process is ended. The first argument is the
-// address to listen at, the others are the nodes.
+// serveProxy runs a plain proxy until the process is terminated. The first
+// argument is the address to listen at, the others are addresses of nodes.
 func serveProxy(kind string, args []string) error {
 	if len(args) < 2 {
-		return errors.New("a proxy needs its address and a node")
+		return errors.New("plain proxy: want the address to listen at and at least one node")
 	}
 	listen, nodes := args[0], args[1:]
 	var turn atomic.Uint64
@@ -56,6 +57,6 @@
 			}
 		})
 	default:
-		return fmt.Errorf("no proxy is called %q", kind)
+		return fmt.Errorf("unknown kind of plain proxy %q", kind)
 	}
 }
