--- a/internal/tools/drawdays/draw.go
+++ b/internal/tools/drawdays/draw.go
@@ -29,14 +29,14 @@
 
 // drawer generates days for a site; the same seed generates the same days.
 type drawer struct {
-	random *rand.Rand
-	site   limits
-	decks  map[string][]variant // shuffled variants still to be used as crossings, by point name
-	budget budget               // fault budget of the day being generated
+	random    *rand.Rand
+	site      limits
+	remaining map[string][]variant // shuffled variants still to be used as crossings, by point name
+	budget    budget               // fault budget of the day being generated
 }
 
 func newDrawer(seed uint64, site limits) *drawer {
-	return &drawer{random: rand.New(rand.NewPCG(seed, 0)), site: site, decks: map[string][]variant{}}
+	return &drawer{random: rand.New(rand.NewPCG(seed, 0)), site: site, remaining: map[string][]variant{}}
 }
 
 // days generates perPoint days for each of the points.
@@ -78,12 +78,12 @@
 
 // nextCrossing returns the variants in random order, each of them once before any is repeated.
 func (d *drawer) nextCrossing(pointName string) variant {
-	deck := d.decks[pointName]
+	deck := d.remaining[pointName]
 	if len(deck) == 0 {
 		deck = allVariants()
 		d.random.Shuffle(len(deck), func(i, j int) { deck[i], deck[j] = deck[j], deck[i] })
 	}
-	d.decks[pointName] = deck[1:]
+	d.remaining[pointName] = deck[1:]
 	return deck[0]
 }
 
--- a/internal/tools/drawdays/points.go
+++ b/internal/tools/drawdays/points.go
@@ -9,7 +9,7 @@
 const (
 	longPartitionS = 20.0
 	afterSync      = 0.05 // seconds between the release of the fault budget and the next loss
-	plannedStepS   = 3.0  // latest start of the release of the servers, in seconds
+	latestReleaseS = 3.0  // latest start of the release of the servers, in seconds
 )
 
 // allPoints lists all points, in the order of docs/design/control-review.md.
@@ -31,21 +31,21 @@
 	start := d.between(span{0.5, 6})
 	switch d.random.IntN(4) {
 	case 0, 1:
-		start = d.precede(into, start)
+		start = d.schedulePriorLoss(into, start)
 	case 2:
 		start = d.between(span{-d.site.leadS / 2, 0})
 	}
 	d.scheduleAt(into, cut, start)
-	d.ordersDuring(into, start, longPartitionS)
+	d.scheduleChanges(into, start, longPartitionS)
 	if d.random.IntN(2) == 0 {
 		away := variant{kind: "node_cut", how: d.oneOf("", "all"), fraction: half, forS: span{longPartitionS, longPartitionS}}
 		d.scheduleAt(into, away, start+d.between(span{0, 1}))
 	}
 }
 
-// precede schedules another loss before the partition and returns the time at which the partition may start: right
-// after a new machine has joined, or, if the budget allows both losses, during the election that a kill causes.
-func (d *drawer) precede(into *day, start float64) float64 {
+// schedulePriorLoss schedules another loss before the partition and returns the time at which the partition may start:
+// right after a new machine has joined, or, if the budget allows both losses, during the election that a kill causes.
+func (d *drawer) schedulePriorLoss(into *day, start float64) float64 {
 	first := variant{kind: "replace_core", how: d.oneOf("", "planned", "oldest"), x: span{0.3, 0.3},
 		takes: machineLoss, planned: true}
 	if d.site.machines > 1 {
@@ -64,8 +64,8 @@
 	return d.budget.freeFrom(startMargin) + afterSync
 }
 
-// ordersDuring schedules changes by the operator during the time span; in some days, acknowledgements are lost.
-func (d *drawer) ordersDuring(into *day, from, length float64) {
+// scheduleChanges schedules changes by the operator during the time span; in some days, acknowledgements are lost.
+func (d *drawer) scheduleChanges(into *day, from, length float64) {
 	storm := variant{kind: "config_storm", forS: span{length, length}, gapS: span{0.2, 0.8}, planned: true}
 	races := variant{kind: "config_race", count: span{4, 12}, gapS: span{0.4, 1.5}, planned: true}
 	evacuation := variant{kind: "evacuate", how: d.oneOf("", "warm"), forS: span{2, length / 2}, planned: true}
@@ -169,13 +169,13 @@
 // drawServers schedules several kinds of server faults at once during a release of the servers and planned restarts of
 // machines.
 func drawServers(d *drawer, into *day) {
-	ill := serverVariants()
+	variants := serverVariants()
 	for range 5 {
-		chosen := ill[d.random.IntN(len(ill))]
+		chosen := variants[d.random.IntN(len(variants))]
 		d.scheduleRandomly(into, chosen, d.site.lengthS*0.7)
 		d.scheduleRandomly(into, chosen, d.site.lengthS*0.7)
 	}
-	d.scheduleRandomly(into, variant{kind: "release", fraction: most, x: span{1, 3}, gapS: span{0.4, 1.2}, planned: true}, plannedStepS)
+	d.scheduleRandomly(into, variant{kind: "release", fraction: most, x: span{1, 3}, gapS: span{0.4, 1.2}, planned: true}, latestReleaseS)
 	rolls := rollVariants()
 	d.scheduleRandomly(into, rolls[d.random.IntN(len(rolls))], d.site.lengthS/2)
 	d.scheduleRandomly(into, variant{kind: "give_up", fraction: half, x: span{50, 400}, forS: span{5, 15}}, d.site.lengthS/2)
