--- a/internal/tools/drawdays/budget.go
+++ b/internal/tools/drawdays/budget.go
@@ -1,7 +1,8 @@
 package main
 
-// budget records the time spans of a day in which machines that count towards the fault budget are lost, so that no generated entry makes the site
-// lose more of them at once than it claims to tolerate. A machine counts as lost until syncS after its return.
+// budget records the time spans of a day in which machines that count towards the fault budget are lost, so that no
+// generated entry makes the site lose more of them at once than it claims to tolerate. A machine counts as lost until
+// syncS after its return.
 type budget struct {
 	site            limits
 	spans           []lossSpan
