--- a/internal/tools/compare/play.go
+++ b/internal/tools/compare/play.go
@@ -120,12 +120,12 @@
 	if err != nil {
 		return play{}, fmt.Errorf("%s on %s, seed %d: %w: %s", one.name, what.day, what.seed, errors.Join(playError, err), outputTail(printed))
 	}
-	var told report
-	if err := json.Unmarshal(data, &told); err != nil {
+	var parsed report
+	if err := json.Unmarshal(data, &parsed); err != nil {
 		return play{}, fmt.Errorf("%s: %w", file, err)
 	}
-	done := play{variant: one, pairing: what, score: told.Score}
-	for rule := range told.Broken {
+	done := play{variant: one, pairing: what, score: parsed.Score}
+	for rule := range parsed.Broken {
 		done.broken = append(done.broken, rule)
 	}
 	return done, nil
--- a/internal/tools/drawdays/draw.go
+++ b/internal/tools/drawdays/draw.go
@@ -78,13 +78,13 @@
 
 // nextCrossing returns the variants in random order, each of them once before any is repeated.
 func (d *drawer) nextCrossing(pointName string) variant {
-	deck := d.remaining[pointName]
-	if len(deck) == 0 {
-		deck = allVariants()
-		d.random.Shuffle(len(deck), func(i, j int) { deck[i], deck[j] = deck[j], deck[i] })
+	unused := d.remaining[pointName]
+	if len(unused) == 0 {
+		unused = allVariants()
+		d.random.Shuffle(len(unused), func(i, j int) { unused[i], unused[j] = unused[j], unused[i] })
 	}
-	d.remaining[pointName] = deck[1:]
-	return deck[0]
+	d.remaining[pointName] = unused[1:]
+	return unused[0]
 }
 
 // scheduleRandomly adds the variant at a random time before latest. It omits the variant if the fault budget allows
--- a/internal/tools/overlay/path.go
+++ b/internal/tools/overlay/path.go
@@ -139,13 +139,13 @@
 }
 
 func withoutMatches(list any, selector step) []any {
-	kept := []any{}
+	remaining := []any{}
 	entries, _ := list.([]any)
 	for _, entry := range entries {
 		table, ok := entry.(map[string]any)
 		if !ok || !selector.matches(table) {
-			kept = append(kept, entry)
+			remaining = append(remaining, entry)
 		}
 	}
-	return kept
+	return remaining
 }
--- a/internal/tools/sitefile/sitefile.go
+++ b/internal/tools/sitefile/sitefile.go
@@ -42,11 +42,11 @@
 }
 
 func copyCompanions(name, originalPath, folder string) error {
-	beside := filepath.Dir(originalPath)
+	originalFolder := filepath.Dir(originalPath)
 	companions := map[string]string{
 		strings.TrimSuffix(originalPath, ".toml") + ".days": name + ".days",
-		filepath.Join(beside, "CUT"):                        "CUT",
-		filepath.Join(beside, "wire.json"):                  "wire.json",
+		filepath.Join(originalFolder, "CUT"):                "CUT",
+		filepath.Join(originalFolder, "wire.json"):          "wire.json",
 	}
 	for from, to := range companions {
 		if err := copyFile(from, filepath.Join(folder, to)); err != nil {
