--- a/bench/transport/process.go
+++ b/bench/transport/process.go
@@ -12,33 +12,33 @@
 	"time"
 )
 
-// program is what is measured: a sidecar, or a plain proxy of the kind that
-// its name says.
+// program is a program to be measured: a sidecar, or a plain proxy whose kind
+// is its name.
 type program struct {
 	name    string
-	sidecar string // path; empty: a plain proxy
+	sidecar string // path of the sidecar binary; empty: a plain proxy
 }
 
-// process is a program that runs.
+// process is a running program.
 type process struct {
-	cmd   *exec.Cmd
-	front string // host:port for clients
-	dir   string
-	log   *os.File
+	cmd     *exec.Cmd
+	address string // host:port that the program listens at for clients
+	dir     string
+	log     *os.File
 }
 
-// settings of the sidecar: one core, and a class that may be repeated.
+// settings are the sidecar's settings, with one class of requests that may be repeated.
 const settings = `{"tick_ms":5,"discovery":"subscribe","classes":[
  {"name":"look","effect":"free","aim_ms":500,"deadline_ms":2000,"late_worth":0.5}],
  "contract":{"ask_every_ms":10000,"cold_from":0.31,"cold_ms":1000,"drain_grace_ms":500,"grace_to_answer_ms":20},
  "limits":{"send_cap":6,"may_cancel":true,"parallel_tries":false,"retry_after":true,"max_retry_after_ms":3000,
  "conn_idle_ms":30000,"dial_timeout_ms":120}}`
 
-const startBound = 20 * time.Second
+const startTimeout = 20 * time.Second
 
-// start runs the program and waits until it serves.
+// start starts the program and waits until it serves requests.
 func (p program) start(nodes *nodes) (*process, error) {
-	front, err := freeAddress()
+	address, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
@@ -46,12 +46,12 @@
 	if err != nil {
 		return nil, err
 	}
-	process := &process{front: front, dir: dir}
+	process := &process{address: address, dir: dir}
 	if process.log, err = os.Create(filepath.Join(dir, "log")); err != nil {
 		_ = os.RemoveAll(dir)
 		return nil, err
 	}
-	defer func() { _ = process.log.Close() }() // the program has its own copy
+	defer func() { _ = process.log.Close() }() // the started program has its own descriptor of the log
 	if process.cmd, err = p.command(process, nodes); err == nil {
 		process.cmd.Stderr = process.log
 		err = process.cmd.Start()
@@ -67,19 +67,20 @@
 	return process, nil
 }
 
+// command returns the command that runs the program on one core.
 func (p program) command(process *process, nodes *nodes) (*exec.Cmd, error) {
 	if p.sidecar == "" {
 		self, err := os.Executable()
 		if err != nil {
 			return nil, err
 		}
-		cmd := exec.Command(self, append([]string{"-serve", p.name, process.front}, nodes.addresses()...)...)
+		cmd := exec.Command(self, append([]string{"-serve", p.name, process.address}, nodes.addresses()...)...)
 		cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
 		return cmd, nil
 	}
 	file := filepath.Join(process.dir, "config.json")
 	text := fmt.Sprintf(`{"name":"bench","listen":%q,"discovery":%q,"limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"generation":0,"reset":true,"instances":[]},"settings":%s}`,
-		process.front, nodes.discovery.Addr(), settings)
+		process.address, nodes.discovery.Addr(), settings)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
@@ -88,11 +89,11 @@
 	return cmd, nil
 }
 
-// ready waits until a request is served.
+// ready waits until the program has served a request, at most startTimeout.
 func (p *process) ready() error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for begun := time.Now(); time.Since(begun) < startBound; time.Sleep(10 * time.Millisecond) {
-		request, err := http.NewRequest(http.MethodGet, "http://"+p.front+"/look", nil)
+	for begun := time.Now(); time.Since(begun) < startTimeout; time.Sleep(10 * time.Millisecond) {
+		request, err := http.NewRequest(http.MethodGet, "http://"+p.address+"/look", nil)
 		if err != nil {
 			return err
 		}
@@ -107,12 +108,12 @@
 			return nil
 		}
 	}
-	return errors.New("does not serve")
+	return errors.New("program did not serve a request before the start timeout")
 }
 
 func (p *process) end() {
-	_ = p.cmd.Process.Kill() // it may have ended by itself
-	_ = p.cmd.Wait()         // killed, it always ends with an error
+	_ = p.cmd.Process.Kill() // the error is ignored: the process may have exited already
+	_ = p.cmd.Wait()         // the error is ignored: a killed process always ends with one
 	_ = os.RemoveAll(p.dir)
 }
 
--- a/internal/tools/compare/play.go
+++ b/internal/tools/compare/play.go
@@ -12,46 +12,47 @@
 	"sync"
 )
 
-// pairing is what plays of two variants have in common.
+// pairing identifies the plays of different variants that are compared with each other.
 type pairing struct {
 	day  string
 	seed uint64
 }
 
-// play is the result of one day.
+// play is the result of one run of a day with one variant.
 type play struct {
 	variant *variant
 	pairing
-	worth  float64
-	broken []string // names of broken rules
+	score  float64
+	broken []string // names of violated rules
 }
 
-// report is what is read of the bench's report.
+// report contains the fields that are read from the bench's JSON report.
 type report struct {
-	Worth  float64        `json:"G"`
+	Score  float64        `json:"G"`
 	Broken map[string]any `json:"breaks"`
 }
 
-// playAll plays every day on every seed with every variant.
+// playAll runs every day with every seed and every variant. Failed runs are printed; playAll returns an error only if
+// a variant could not be built or all runs failed.
 func playAll(given *options, variants []*variant) ([]play, error) {
 	if err := buildAll(given, variants); err != nil {
 		return nil, err
 	}
 	var done results
-	var waiting sync.WaitGroup
+	var running sync.WaitGroup
 	slots := make(chan struct{}, given.Jobs)
 	for _, day := range given.Day {
 		for _, seed := range given.Seed {
 			for _, one := range variants {
 				slots <- struct{}{}
-				waiting.Go(func() {
+				running.Go(func() {
 					defer func() { <-slots }()
 					done.add(playOne(given, one, pairing{day, seed}))
 				})
 			}
 		}
 	}
-	waiting.Wait()
+	running.Wait()
 	for _, one := range variants {
 		if err := copyJournal(one.folder, given.Journal); err != nil {
 			done.failures = append(done.failures, err)
@@ -66,7 +67,7 @@
 	return done.plays, nil
 }
 
-// buildAll makes a clone of each variant and builds it.
+// buildAll clones and builds each variant.
 func buildAll(given *options, variants []*variant) error {
 	if err := os.MkdirAll(given.Work, 0o755); err != nil {
 		return err
@@ -82,7 +83,8 @@
 	return nil
 }
 
-// results collects what came of plays. It is safe for concurrent use until all plays have ended.
+// results collects plays and errors. Its method add is safe for concurrent use; the fields may be read directly only
+// after all plays have ended.
 type results struct {
 	mu       sync.Mutex
 	plays    []play
@@ -99,7 +101,8 @@
 	r.plays = append(r.plays, done)
 }
 
-// playOne plays one day. The bench ends with an error where a rule was broken; the report is there all the same.
+// playOne runs one day with one variant. The bench exits with an error if a rule was violated, but still writes the
+// report, so its exit status counts only if the report is missing.
 func playOne(given *options, one *variant, what pairing) (play, error) {
 	file := filepath.Join(given.Work, fmt.Sprintf("%s-%s-%d.json", one.name, filepath.Base(what.day), what.seed))
 	why := fmt.Sprintf("%s (%s; off: %s)", given.Why, one.name, strings.Join(one.off, ","))
@@ -115,20 +118,21 @@
 	printed, playError := playing.CombinedOutput()
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return play{}, fmt.Errorf("%s on %s, seed %d: %w: %s", one.name, what.day, what.seed, errors.Join(playError, err), lastLines(printed))
+		return play{}, fmt.Errorf("%s on %s, seed %d: %w: %s", one.name, what.day, what.seed, errors.Join(playError, err), outputTail(printed))
 	}
-	var told report
-	if err := json.Unmarshal(data, &told); err != nil {
+	var parsed report
+	if err := json.Unmarshal(data, &parsed); err != nil {
 		return play{}, fmt.Errorf("%s: %w", file, err)
 	}
-	done := play{variant: one, pairing: what, worth: told.Worth}
-	for rule := range told.Broken {
+	done := play{variant: one, pairing: what, score: parsed.Score}
+	for rule := range parsed.Broken {
 		done.broken = append(done.broken, rule)
 	}
 	return done, nil
 }
 
-// copyJournal copies the entries that a clone has beyond those it was made with.
+// copyJournal copies the journal entries that runs added or changed in a clone (those that git status lists) to the
+// journal folder. It does nothing if the folder is empty.
 func copyJournal(clone, journal string) error {
 	if journal == "" {
 		return nil
