--- a/cmd/fieldrelay-region/check.go
+++ b/cmd/fieldrelay-region/check.go
@@ -12,28 +12,27 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// FaultyFileError says that a checked file has faults. They have been printed.
+// FaultyFileError reports that a checked file or state folder has faults, which the command has already printed.
 type FaultyFileError struct {
 	Path   string
 	Faults int
 }
 
-// Error names the file and the number of its faults.
 func (e *FaultyFileError) Error() string { return fmt.Sprintf("%s: %d faults", e.Path, e.Faults) }
 
-// checkCommand checks a file or a state folder.
+// checkCommand checks a settings file, a configuration or a state folder.
 type checkCommand struct {
 	File string `arg:"" type:"path" help:"Settings file (TOML), configuration (JSON) or state folder of a control machine."`
 }
 
-// Run prints every fault of the file, or the content of the folder.
+// Run prints every fault of the file, or the recovered content if the argument is a state folder.
 func (c checkCommand) Run() error {
 	if info, err := os.Stat(c.File); err == nil && info.IsDir() {
 		return checkState(os.Stdout, c.File)
 	}
 	data, err := os.ReadFile(c.File)
 	if err != nil {
-		return errors.Wrap(err, "read the file")
+		return errors.Wrap(err, "read the file to check")
 	}
 	return check(os.Stdout, c.File, data)
 }
@@ -55,7 +54,8 @@
 	return nil
 }
 
-// faultsOf returns the faults of a configuration, which is JSON, or of settings, which are not.
+// faultsOf returns the faults of a file's content. Content that begins with "{" is a configuration (JSON); any other
+// content is a settings file (TOML).
 func faultsOf(data []byte) ([]string, error) {
 	if bytes.HasPrefix(bytes.TrimSpace(data), []byte("{")) {
 		return configurationFaults(data)
@@ -77,7 +77,8 @@
 	return faults, nil
 }
 
-// configurationFaults returns the faults of a configuration, checked as if it were the first one.
+// configurationFaults returns the faults of a configuration, checked as the replacement of
+// an empty catalog.
 func configurationFaults(data []byte) ([]string, error) {
 	_, err := catalog.PrepareReplace(catalog.Empty(), 0, data)
 	var found *catalog.InvalidError
--- a/cmd/fieldrelay-region/check_state.go
+++ b/cmd/fieldrelay-region/check_state.go
@@ -10,7 +10,8 @@
 )
 
 // checkState prints the content of a control machine's state folder and what a start would recover. It returns a
-// *FaultyFileError if a control machine could not start on it. It only reads, also beside a running process.
+// *FaultyFileError if a control machine could not start on it. It only reads, so the control
+// machine may be running.
 func checkState(output io.Writer, folder string) error {
 	inspection, err := control.Inspect(folder)
 	if err != nil {
@@ -29,14 +30,14 @@
 	return nil
 }
 
-// printRingFile prints a file of the ring with each of its records.
+// printRingFile prints the state of a ring file and its records.
 func printRingFile(report printer, file ring.FileReport) {
 	switch {
 	case !file.HeaderValid:
-		report.line("%s: %d bytes, not begun, or its beginning is torn", file.Name, file.Bytes)
+		report.line("%s: %d bytes, never written, or its header is torn", file.Name, file.Bytes)
 		return
 	case !file.SnapshotValid:
-		report.line("%s: %d bytes, epoch %d, no whole snapshot: not used", file.Name, file.Bytes, file.Epoch)
+		report.line("%s: %d bytes, epoch %d, no complete snapshot: not used", file.Name, file.Bytes, file.Epoch)
 		return
 	}
 	use := "older"
@@ -50,16 +51,16 @@
 	}
 }
 
-// printRecoveredState prints the state that a start would recover.
+// printRecoveredState prints the state that a control machine would recover at its start.
 func printRecoveredState(report printer, inspection *control.Inspection) {
 	if inspection.Ring.Recovered == nil {
 		return
 	}
 	if inspection.Ring.Recovered.Fresh {
-		report.line("recovers: nothing, the disk is fresh")
+		report.line("recovers: nothing, the ring is empty")
 		return
 	}
-	report.line("recovers: identity %s, of the founding: %t", inspection.Identity, inspection.Bootstrap)
+	report.line("recovers: identity %s, bootstrap: %t", inspection.Identity, inspection.Bootstrap)
 	printView(report, inspection.View, inspection.SynchronizedView)
 	if promise := inspection.Promise; promise != nil {
 		report.line("recovers: promise for view %d to %s, round %d, accepted a value: %t",
@@ -70,20 +71,21 @@
 	report.line("recovers: sequence %d, generation %d, %d items, evacuated zones %v",
 		state.Sequence(), state.Generation(), state.Len(), state.EvacuatedZones())
 	orders, since := state.ExecutedOrders()
-	report.line("recovers: the orders taken since generation %d are known again, %d of them", since, orders)
+	report.line("recovers: orders executed since generation %d: %d", since, orders)
 }
 
-// printView prints a view; synchronized is the newest view up to which the state is complete.
+// printView prints a recovered view. The argument synchronized is the number of the newest view up to which the
+// recovered state is complete.
 func printView(report printer, view *pb.View, synchronized uint64) {
 	if view == nil {
-		report.line("recovers: no view: it has neither founded nor joined a system")
+		report.line("recovers: no view: the machine has neither bootstrapped nor joined a cluster")
 		return
 	}
 	report.line("recovers: view %d of cluster %s, state of view %d", view.GetNumber(), view.GetCluster(), synchronized)
 	report.line("recovers: voters %v, chain %v", hostsOf(view.GetVoters()), hostsOf(view.GetChain()))
 }
 
-// hostsOf returns the hosts of replicas, in their order.
+// hostsOf returns the host names of replicas, in the given order.
 func hostsOf(replicas []*pb.Replica) []string {
 	hosts := make([]string, 0, len(replicas))
 	for _, replica := range replicas {
--- a/cmd/fieldrelay-region/check_state_test.go
+++ b/cmd/fieldrelay-region/check_state_test.go
@@ -19,7 +19,8 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// stateFolder returns the state folder of a control machine that founded alone and took a configuration.
+// stateFolder returns the state folder of a control machine that bootstrapped a cluster of one and executed a REPLACE
+// order.
 func stateFolder(t *testing.T) string {
 	t.Helper()
 	const own = "127.0.0.1:8146"
@@ -45,7 +46,7 @@
 		select {
 		case <-changed:
 		case <-limit:
-			require.FailNow(t, "the order was not taken")
+			require.FailNow(t, "the REPLACE order was not executed within 10 s")
 		}
 	}
 }
@@ -57,7 +58,7 @@
 	for _, part := range []string{
 		"current: snapshot of", " change, ", "recovers: identity ", "recovers: view 1 of cluster ",
 		"voters [control-1], chain [control-1]", "sequence 1, generation 1,",
-		"recovers: the orders taken since generation 0 are known again, 1 of them", "no faults",
+		"recovers: orders executed since generation 0: 1\n", "no faults",
 	} {
 		require.Contains(t, output.String(), part)
 	}
@@ -75,7 +76,7 @@
 	require.NoError(t, os.WriteFile(path, content, 0o600))
 
 	var output bytes.Buffer
-	require.NoError(t, checkState(&output, folder), "a torn tail is what a loss of power leaves")
+	require.NoError(t, checkState(&output, folder), "a power failure leaves a torn tail, which is no fault")
 	require.Contains(t, output.String(), "torn")
 }
 
@@ -98,10 +99,10 @@
 	require.True(t, errors.As(checkState(&output, t.TempDir()), &none))
 }
 
-// corruptSnapshots changes a byte in the snapshot of every file of a ring.
+// corruptSnapshots flips a bit in the snapshot of every ring file in folder.
 func corruptSnapshots(t *testing.T, folder string) {
 	t.Helper()
-	const inSnapshot = 100 // behind the headers of the file and of the frame
+	const inSnapshot = 100 // offset of a byte behind the headers of the file and of the frame
 	files, err := filepath.Glob(filepath.Join(folder, "*"))
 	require.NoError(t, err)
 	for _, path := range files {
--- a/cmd/fieldrelay-region/check_test.go
+++ b/cmd/fieldrelay-region/check_test.go
@@ -24,7 +24,7 @@
 func TestCheckPrintsEveryFault(t *testing.T) {
 	cases := map[string]struct {
 		text string
-		want []string // parts of the lines, in order; none: no faults
+		want []string // substring of each printed line, in order; nil: no faults
 	}{
 		"settings":           {goodSettings, nil},
 		"configuration":      {goodConfiguration, nil},
--- a/cmd/fieldrelay-region/example_settings_test.go
+++ b/cmd/fieldrelay-region/example_settings_test.go
@@ -8,7 +8,7 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// The settings file with which the README starts a single process has no faults.
+// The example settings file, with which the README starts a single control machine, is valid and complete.
 func TestTheExampleSettingsAreValid(t *testing.T) {
 	read, err := settings.Load("../../example/control.toml")
 	require.NoError(t, err)
--- a/cmd/fieldrelay-region/main.go
+++ b/cmd/fieldrelay-region/main.go
@@ -21,7 +21,7 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// commandLine has the commands and flags of the program.
+// commandLine defines the commands and flags for kong.
 type commandLine struct {
 	Proxy   proxyCommand     `cmd:"" help:"Run a proxy: it takes clients' requests and passes them on to servers."`
 	Agent   agentCommand     `cmd:"" help:"Run an agent: it keeps the link to the control machines and feeds the proxy beside it."`
@@ -49,12 +49,13 @@
 	}
 }
 
-// helpVariables are the variables of the help texts.
+// helpVariables returns the values of the variables in the help texts.
 func helpVariables() kong.Vars {
 	return kong.Vars{"version": version(), "mechanisms": strings.Join(policy.Names(), ", ")}
 }
 
-// version returns the module's version and the commit that the program was built from, as far as they are known.
+// version returns the module's version and the commit that the program was built from, if the build
+// information contains them.
 func version() string {
 	info, known := debug.ReadBuildInfo()
 	if !known {
@@ -69,12 +70,11 @@
 	return text
 }
 
-// proxyCommand runs a proxy.
 type proxyCommand struct {
 	Off []string `help:"Mechanisms of the policy to switch off, beside those of the settings: ${mechanisms}." placeholder:"NAME,..."`
 }
 
-// Run runs the proxy until it has drained after SIGTERM.
+// Run runs the proxy until it has received SIGTERM and has drained.
 func (c *proxyCommand) Run() error {
 	off, err := policy.Parse(c.Off)
 	if err != nil {
@@ -85,14 +85,12 @@
 	})
 }
 
-// agentCommand runs an agent.
 type agentCommand struct{}
 
-// Run runs the agent until SIGTERM, and on until the proxy beside it has ended.
+// Run runs the agent until it has received SIGTERM and the proxy on the same machine has ended.
 func (agentCommand) Run() error { return roleprocess.Run(agent.Run) }
 
-// controlCommand runs a control machine.
 type controlCommand struct{}
 
-// Run runs the control machine until its shutdown after SIGTERM.
+// Run runs the control machine until it has received SIGTERM and has shut down.
 func (controlCommand) Run() error { return roleprocess.Run(controlserver.Run) }
--- a/cmd/fieldrelay-region/print.go
+++ b/cmd/fieldrelay-region/print.go
@@ -5,13 +5,13 @@
 	"io"
 )
 
-// printer writes the lines of a command's report. A failed write is ignored: the exit code says what was found, and a
-// reader that has closed the pipe wants no more.
+// printer writes the lines of a command's report. Write errors are ignored: the exit code reports the result, and a
+// reader that has closed the pipe needs no further output.
 type printer struct {
 	output io.Writer
 }
 
-// line writes one line.
+// line formats a line and writes it with a line feed.
 func (p printer) line(format string, values ...any) {
 	_, _ = fmt.Fprintf(p.output, format+"\n", values...)
 }
--- a/cmd/fieldrelay-region/status.go
+++ b/cmd/fieldrelay-region/status.go
@@ -14,7 +14,8 @@
 	Only    bool   `help:"Ask this machine only, not the other voters of its view."`
 }
 
-// Run queries and prints. The exit code says only whether the named machine answered.
+// Run queries the control machines and prints the result. It returns an error only if the machine at Address does not
+// answer or the output cannot be written.
 func (c statusCommand) Run() error {
 	survey, err := c.survey(context.Background())
 	if err != nil {
--- a/cmd/fieldrelay-region/status_test.go
+++ b/cmd/fieldrelay-region/status_test.go
@@ -20,7 +20,7 @@
 	require.Equal(t, "status <address>", parsed.Command())
 	require.Equal(t, statusCommand{Address: "10.0.0.1:7660", JSON: true, Only: true}, commands.Status)
 	_, err = parser.Parse([]string{"status"})
-	require.Error(t, err, "an address is needed")
+	require.Error(t, err, "the command line names no address")
 }
 
 func TestStatusOfAnUnreachableAddress(t *testing.T) {
