--- a/cmd/fieldrelay-region/status_test.go
+++ b/cmd/fieldrelay-region/status_test.go
@@ -29,8 +29,8 @@
 	address := listener.Addr().String()
 	require.NoError(t, listener.Close())
 	for _, command := range []statusCommand{{Address: address}, {Address: address, Only: true}} {
-		var silent *status.UnreachableError
-		require.True(t, errors.As(command.Run(), &silent))
-		require.Equal(t, address, silent.Address)
+		var unreachable *status.UnreachableError
+		require.True(t, errors.As(command.Run(), &unreachable))
+		require.Equal(t, address, unreachable.Address)
 	}
 }
--- a/cmd/fieldrelayctl/fleet.go
+++ b/cmd/fieldrelayctl/fleet.go
@@ -16,14 +16,14 @@
 )
 
 // How long the management address may take.
-const askTimeout = 3 * time.Second
+const queryTimeout = 3 * time.Second
 
 type sidecarAddr struct {
 	Mgmt string `help:"The management address of the sidecar; as a rule that of its configuration." placeholder:"HOST:PORT"`
 }
 
-// ask asks the sidecar that is meant.
-func (c sidecarAddr) ask(w *environment, command string) ([]string, error) {
+// query asks the sidecar that is meant.
+func (c sidecarAddr) query(w *environment, command string) ([]string, error) {
 	address := c.Mgmt
 	if address == "" {
 		cfg, err := config.Load(w.getenv, w.operator)
@@ -34,15 +34,15 @@
 			return nil, errors.New("no management address: set mgmt in the configuration, or --mgmt")
 		}
 	}
-	return ask(address, command)
+	return query(address, command)
 }
 
-// askCmd prints the answer to the command of its name: the names that a line begins with, then a column for each key.
-type askCmd struct{ sidecarAddr }
+// queryCmd prints the answer to the command of its name: the names that a line begins with, then a column for each key.
+type queryCmd struct{ sidecarAddr }
 
 // Run asks and prints a table.
-func (c askCmd) Run(w *environment, ctx *kong.Context) error {
-	lines, err := c.ask(w, strings.ToUpper(ctx.Selected().Name))
+func (c queryCmd) Run(w *environment, ctx *kong.Context) error {
+	lines, err := c.query(w, strings.ToUpper(ctx.Selected().Name))
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 
 // Run asks PEERS and prints a table.
 func (c fleetCmd) Run(w *environment) error {
-	lines, err := c.ask(w, "PEERS")
+	lines, err := c.query(w, "PEERS")
 	if err != nil {
 		return err
 	}
@@ -105,14 +105,14 @@
 	return table.Flush()
 }
 
-// ask sends one command to a management address and gives the lines between ok and eof.
-func ask(address, command string) ([]string, error) {
-	nc, err := net.DialTimeout("tcp", address, askTimeout)
+// query sends one command to a management address and gives the lines between ok and eof.
+func query(address, command string) ([]string, error) {
+	nc, err := net.DialTimeout("tcp", address, queryTimeout)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = nc.Close() }()
-	if err := nc.SetDeadline(time.Now().Add(askTimeout)); err != nil {
+	if err := nc.SetDeadline(time.Now().Add(queryTimeout)); err != nil {
 		return nil, err
 	}
 	if _, err := fmt.Fprintln(nc, command); err != nil {
--- a/cmd/fieldrelayctl/main.go
+++ b/cmd/fieldrelayctl/main.go
@@ -38,8 +38,8 @@
 	Check    checkCmd   `cmd:"" help:"Read config.json and the operator's file, and name every fault with its place."`
 	Config   configCmd  `cmd:"" help:"Print the settings that would be in force, and where each comes from."`
 	Fleet    fleetCmd   `cmd:"" help:"Ask the running sidecar for the members of its fleet, as a table."`
-	Quotas   askCmd     `cmd:"" help:"Ask it for the limits of the fleet, as a table."`
-	Verdicts askCmd     `cmd:"" help:"Ask it for what the fleet says of execute nodes, as a table."`
+	Quotas   queryCmd     `cmd:"" help:"Ask it for the limits of the fleet, as a table."`
+	Verdicts queryCmd     `cmd:"" help:"Ask it for what the fleet says of execute nodes, as a table."`
 	Version  versionCmd `cmd:"" help:"Print the program's version."`
 }
 
@@ -62,11 +62,11 @@
 func command(args []string, getenv func(string) string, out, errs io.Writer) int {
 	var c cli
 	ended := -1                                                                     // by a flag such as --help
-	complain := func(fault any) { _, _ = fmt.Fprintln(errs, "fieldrelay:", fault) } // nobody hears of a closed standard error
+	printError := func(fault any) { _, _ = fmt.Fprintln(errs, "fieldrelay:", fault) } // nobody hears of a closed standard error
 	parser, err := kong.New(&c, kong.Name("fieldrelay"), kong.Description(description), kong.Writers(out, errs),
 		kong.Exit(func(code int) { ended = code }), kong.ConfigureHelp(kong.HelpOptions{NoExpandSubcommands: true}))
 	if err != nil {
-		complain(err)
+		printError(err)
 		return exitFault
 	}
 	ctx, err := parser.Parse(args)
@@ -74,16 +74,16 @@
 		return ended
 	}
 	if err != nil {
-		complain(fmt.Errorf("%w; see fieldrelay --help", err))
+		printError(fmt.Errorf("%w; see fieldrelay --help", err))
 		return exitUsage
 	}
 	if err := ctx.Run(&environment{getenv: getenv, operator: c.Operator, out: out, errs: errs}); err != nil {
 		if faults := (config.FaultsError)(nil); errors.As(err, &faults) {
 			for _, f := range faults {
-				complain(f)
+				printError(f)
 			}
 		} else {
-			complain(err)
+			printError(err)
 		}
 		return exitFault
 	}
--- a/cmd/fieldrelayctl/main_test.go
+++ b/cmd/fieldrelayctl/main_test.go
@@ -44,16 +44,16 @@
 		code := command(strings.Fields(c.args), func(key string) string {
 			return map[string]string{"LB_CONFIG": c.config}[key]
 		}, &out, &errs)
-		said := out.String()
+		output := out.String()
 		if code != 0 {
-			said = errs.String()
+			output = errs.String()
 		}
 		if code != c.code {
 			t.Errorf("%s: code %d, %s", c.args, code, errs.String())
 		}
 		for _, want := range c.want {
-			if !strings.Contains(said, want) {
-				t.Errorf("%s: %q is not in\n%s", c.args, want, said)
+			if !strings.Contains(output, want) {
+				t.Errorf("%s: %q is not in\n%s", c.args, want, output)
 			}
 		}
 	}
