--- a/cmd/fieldrelayctl/fleet.go
+++ b/cmd/fieldrelayctl/fleet.go
@@ -15,14 +15,14 @@
 	"fieldrelay/internal/sidecar/config"
 )
 
-// How long the management address may take.
+// queryTimeout bounds the connection set-up to the management address, and again the exchange of command and answer.
 const queryTimeout = 3 * time.Second
 
 type sidecarAddr struct {
 	Mgmt string `help:"The management address of the sidecar; as a rule that of its configuration." placeholder:"HOST:PORT"`
 }
 
-// query asks the sidecar that is meant.
+// query sends a command to the sidecar at --mgmt or, without that flag, at the management address of its configuration.
 func (c sidecarAddr) query(w *environment, command string) ([]string, error) {
 	address := c.Mgmt
 	if address == "" {
@@ -31,16 +31,17 @@
 			return nil, err
 		}
 		if address = cfg.Mgmt; address == "" {
-			return nil, errors.New("no management address: set mgmt in the configuration, or --mgmt")
+			return nil, errors.New("no management address: set mgmt in the configuration or pass --mgmt")
 		}
 	}
 	return query(address, command)
 }
 
-// queryCmd prints the answer to the command of its name: the names that a line begins with, then a column for each key.
+// queryCmd sends the management command that has the name of the selected subcommand and prints the answer as a table:
+// the words at the start of each line, then a column for each key of its key=value fields.
 type queryCmd struct{ sidecarAddr }
 
-// Run asks and prints a table.
+// Run sends the management command and prints the answer as a table.
 func (c queryCmd) Run(w *environment, ctx *kong.Context) error {
 	lines, err := c.query(w, strings.ToUpper(ctx.Selected().Name))
 	if err != nil {
@@ -76,7 +77,7 @@
 
 type fleetCmd struct{ sidecarAddr }
 
-// Run asks PEERS and prints a table.
+// Run sends the management command PEERS and prints the members as a table.
 func (c fleetCmd) Run(w *environment) error {
 	lines, err := c.query(w, "PEERS")
 	if err != nil {
@@ -105,7 +106,7 @@
 	return table.Flush()
 }
 
-// query sends one command to a management address and gives the lines between ok and eof.
+// query sends one command to a management address and returns the lines of the answer between "ok" and "eof".
 func query(address, command string) ([]string, error) {
 	nc, err := net.DialTimeout("tcp", address, queryTimeout)
 	if err != nil {
@@ -130,5 +131,5 @@
 			lines = append(lines, line)
 		}
 	}
-	return nil, errors.Join(errors.New("the answer ended early"), in.Err())
+	return nil, errors.Join(errors.New("the answer of the management address ended before its line eof"), in.Err())
 }
--- a/cmd/fieldrelayctl/fleet_test.go
+++ b/cmd/fieldrelayctl/fleet_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// The tables show what the sidecar answers; where it turns the command down, so is the command line.
+// The commands print the sidecar's answer as a table. If the sidecar rejects the management command, the program prints
+// the reason and returns exitFault.
 func TestTables(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/fieldrelayctl/main.go
+++ b/cmd/fieldrelayctl/main.go
@@ -1,6 +1,6 @@
-// Command fieldrelayctl is the command line of fieldrelay, which hands its
-// arguments to it. It is a program of its own because a parser of arguments
-// would take a sidecar of 24 MB a tenth of its memory for good.
+// Command fieldrelayctl is the command line of fieldrelay: fieldrelay executes
+// it and passes on its arguments. It is a separate program because an argument
+// parser would permanently occupy a tenth of the sidecar's memory of 24 MB.
 package main
 
 import (
@@ -24,22 +24,22 @@
 
 // Exit codes.
 const (
-	exitFault = 1 // a faulty configuration, or a daemon that failed
-	exitUsage = 2 // arguments that are not understood
+	exitFault = 1 // the configuration is faulty, the daemon failed or a command failed
+	exitUsage = 2 // the arguments are invalid
 )
 
-// operatorEnv names the operator's file where no argument does.
+// operatorEnv is the environment variable that names the operator's file if --operator is absent.
 const operatorEnv = "FIELDRELAY_OPERATOR"
 
-// cli is the command line.
+// cli defines the commands and flags for kong.
 type cli struct {
 	Operator string     `help:"The operator's own file." placeholder:"FILE" env:"FIELDRELAY_OPERATOR"`
 	Run      runCmd     `cmd:"" default:"1" help:"Serve, in the foreground. The command where none is named."`
 	Check    checkCmd   `cmd:"" help:"Read config.json and the operator's file, and name every fault with its place."`
 	Config   configCmd  `cmd:"" help:"Print the settings that would be in force, and where each comes from."`
 	Fleet    fleetCmd   `cmd:"" help:"Ask the running sidecar for the members of its fleet, as a table."`
-	Quotas   queryCmd     `cmd:"" help:"Ask it for the limits of the fleet, as a table."`
-	Verdicts queryCmd     `cmd:"" help:"Ask it for what the fleet says of execute nodes, as a table."`
+	Quotas   queryCmd   `cmd:"" help:"Ask it for the limits of the fleet, as a table."`
+	Verdicts queryCmd   `cmd:"" help:"Ask it for what the fleet says of execute nodes, as a table."`
 	Version  versionCmd `cmd:"" help:"Print the program's version."`
 }
 
@@ -58,11 +58,11 @@
 	os.Exit(command(os.Args[1:], os.Getenv, os.Stdout, os.Stderr))
 }
 
-// command runs a command line and gives its exit code.
+// command parses and runs a command line and returns the exit code.
 func command(args []string, getenv func(string) string, out, errs io.Writer) int {
 	var c cli
-	ended := -1                                                                     // by a flag such as --help
-	printError := func(fault any) { _, _ = fmt.Fprintln(errs, "fieldrelay:", fault) } // nobody hears of a closed standard error
+	ended := -1                                                                       // exit code set by a flag such as --help; -1: none
+	printError := func(fault any) { _, _ = fmt.Fprintln(errs, "fieldrelay:", fault) } // a write error on standard error cannot be reported
 	parser, err := kong.New(&c, kong.Name("fieldrelay"), kong.Description(description), kong.Writers(out, errs),
 		kong.Exit(func(code int) { ended = code }), kong.ConfigureHelp(kong.HelpOptions{NoExpandSubcommands: true}))
 	if err != nil {
@@ -90,23 +90,24 @@
 	return 0
 }
 
-// environment is what a command acts on.
+// environment holds the inputs and output streams of a command.
 type environment struct {
 	getenv    func(string) string
-	operator  string // path of the operator's file; "": none
+	operator  string // path of the operator's file; empty: none
 	out, errs io.Writer
 }
 
 type runCmd struct{}
 
-// Run becomes the daemon, which takes no arguments: the operator's file goes to it in the environment.
+// Run replaces the process by the daemon. The daemon takes no arguments, so the path of the operator's file is passed
+// in the environment.
 func (runCmd) Run(w *environment) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	env := os.Environ()
-	if w.operator != "" { // the last one of a name counts
+	if w.operator != "" { // of several entries for one variable, the last one takes effect
 		env = append(env, operatorEnv+"="+w.operator)
 	}
 	daemon := filepath.Join(filepath.Dir(self), "fieldrelay")
@@ -115,7 +116,8 @@
 
 type checkCmd struct{}
 
-// Run reads all files; what is wrong with them is the error.
+// Run reads all configuration files and returns their faults as the error. If there are none, it prints the number of
+// settings and the bounds that follow from them.
 func (checkCmd) Run(w *environment) error {
 	cfg, err := config.Load(w.getenv, w.operator)
 	if err != nil {
@@ -154,7 +156,7 @@
 	JSON bool `help:"One JSON list in place of a table." name:"json"`
 }
 
-// Run prints the settings.
+// Run prints the effective settings and the origin of each.
 func (c configCmd) Run(w *environment) error {
 	cfg, err := config.Load(w.getenv, w.operator)
 	if err != nil {
@@ -174,7 +176,7 @@
 
 type versionCmd struct{}
 
-// Run prints what the build knows of itself.
+// Run prints the version, the revision, the version of the operator's file format and the Go version.
 func (versionCmd) Run(w *environment) error {
 	version, revision := "unknown", "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/fieldrelayctl/main_test.go
+++ b/cmd/fieldrelayctl/main_test.go
@@ -10,7 +10,8 @@
 const settings = `{"tick_ms":5,"discovery":"subscribe","classes":[{"name":"look","effect":"free","aim_ms":400,"deadline_ms":5000}],
 	"contract":{"ask_every_ms":10000},"limits":{"send_cap":2,"may_cancel":true}}`
 
-// What a user types is answered on the right stream and with the right code.
+// Each command line returns the expected exit code and prints the expected text on standard output or, if it fails, on
+// standard error.
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -27,7 +28,7 @@
 	for _, c := range []struct {
 		config, args string
 		code         int
-		want         []string // on standard output where the code is 0, else on standard error
+		want         []string // substrings of standard output if the code is 0, else of standard error
 	}{
 		{good, "check", 0, []string{"no fault"}},
 		{good, "check --operator " + own, 0, []string{"no fault"}},
