--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -29,7 +29,7 @@
 	lineNo    int
 	line      wire.Line
 	reply     bytes.Buffer
-	acts      []logic.Action
+	actions      []logic.Action
 	instances map[uint64]*logic.Balancer
 	pages     map[uint64][]logic.Server
 }
@@ -66,8 +66,8 @@
 	return wire.ParseLine(strings.TrimSuffix(strings.TrimSuffix(text, "\n"), "\r"), &h.line)
 }
 
-// within reads a line of a batch, where the input may not end.
-func (h *host) within() error {
+// nextInBatch reads a line of a batch, where the input may not end.
+func (h *host) nextInBatch() error {
 	err := h.next()
 	if errors.Is(err, io.EOF) {
 		return errors.New("input ends within a batch")
@@ -88,7 +88,7 @@
 		return err
 	}
 	for {
-		if err := h.within(); err != nil {
+		if err := h.nextInBatch(); err != nil {
 			return err
 		}
 		switch h.line.Tag {
@@ -116,7 +116,7 @@
 	}
 	var servers []logic.Server
 	for range rows {
-		if err := h.within(); err != nil {
+		if err := h.nextInBatch(); err != nil {
 			return err
 		}
 		s, err := h.line.Entry()
@@ -213,8 +213,8 @@
 			delete(h.instances, inst)
 		}
 	}()
-	h.acts = b.Step(now, ev, h.acts[:0])
-	for i := range h.acts {
-		wire.Action(&h.reply, inst, &h.acts[i])
+	h.actions = b.Step(now, ev, h.actions[:0])
+	for i := range h.actions {
+		wire.Action(&h.reply, inst, &h.actions[i])
 	}
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -9,7 +9,7 @@
 	"fieldrelay/internal/sidecar/logic"
 )
 
-const hello = `MARK t_ms=1000.0
+const setupBatch = `MARK t_ms=1000.0
 PAGE slot=3 rows_in=2
 ENTRY server=7 area=a generation_hw=k stripe=0 state=live heft=1 novelty=x
 ENTRY server=8 area=b generation_hw=k stripe=1 state=quiescing heft=1.5 since_ms=900.0
@@ -20,7 +20,7 @@
 END
 `
 
-func play(input string) (string, error) {
+func runHost(input string) (string, error) {
 	h := &host{instances: map[uint64]*logic.Balancer{}, pages: map[uint64][]logic.Server{}}
 	var out bytes.Buffer
 	err := h.run(strings.NewReader(input), &out)
@@ -28,7 +28,7 @@
 }
 
 func TestConversation(t *testing.T) {
-	out, err := play(hello + `MARK t_ms=1005.0
+	out, err := runHost(setupBatch + `MARK t_ms=1005.0
 SUBMIT i=2 ref=99 cls=cx bitmap=0 object=4 expires_ms=1405.0
 NOVELTY i=2 what=ever
 REMINDER i=2 token=foreign
@@ -47,7 +47,7 @@
 		strings.Count(out, "NEXT\n") != 3 {
 		t.Errorf("reply:\n%s", out)
 	}
-	out, err = play(strings.Replace(hello, `"c x"`, `"c"`, 1) +
+	out, err = runHost(strings.Replace(setupBatch, `"c x"`, `"c"`, 1) +
 		"MARK t_ms=1005.0\nSUBMIT i=2 ref=99 cls=c bitmap=0 object=4 expires_ms=1405.0\nEND\n")
 	if err != nil || !strings.Contains(out, "PLACE i=2 ref=99 server=7 timeout_ms=400.000\n") {
 		t.Errorf("error %v, reply:\n%s", err, out)
@@ -68,14 +68,14 @@
 		"MARK t_ms=1\nPROVISION i=1 random_seed=1 settings={\nEND\n":                      "line 2: PROVISION: settings: ",
 		"MARK t_ms=1\nRESOLVED i=1 ref=1 send_no=0 disposition=odd final=0 lag_ms=1\nEND": `line 2: RESOLVED: disposition="odd" is unknown`,
 	} {
-		if _, err := play(input); err == nil || !strings.HasPrefix(err.Error(), want) {
+		if _, err := runHost(input); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%q: error %v, want %s", input, err, want)
 		}
 	}
 }
 
 func TestUnusableSettingsAndPanicsAreFaults(t *testing.T) {
-	out, err := play("MARK t_ms=1\nPROVISION i=4 random_seed=1 settings={}\nEND\n")
+	out, err := runHost("MARK t_ms=1\nPROVISION i=4 random_seed=1 settings={}\nEND\n")
 	if err != nil || !strings.Contains(out, "BROKEN i=4 note_text=logic: settings name no class") {
 		t.Errorf("error %v, reply %s", err, out)
 	}
@@ -87,7 +87,7 @@
 }
 
 func TestDestroyedInstanceIsForgotten(t *testing.T) {
-	out, err := play(hello + "MARK t_ms=1005.0\nDESTROY i=2\nSUBMIT i=2 ref=9 cls=c expires_ms=1400.0\nEND\n")
+	out, err := runHost(setupBatch + "MARK t_ms=1005.0\nDESTROY i=2\nSUBMIT i=2 ref=9 cls=c expires_ms=1400.0\nEND\n")
 	if err != nil || !strings.HasSuffix(out, "NEXT\nNEXT\n") {
 		t.Errorf("error %v, reply:\n%s", err, out)
 	}
@@ -95,7 +95,7 @@
 
 // An idle connection's wake-up comes back by the server it names, and closes it.
 func TestIdleConnectionIsReleased(t *testing.T) {
-	out, err := play(strings.Replace(strings.Replace(hello, `"c x"`, `"c"`, 1), `"tick_ms"`,
+	out, err := runHost(strings.Replace(strings.Replace(setupBatch, `"c x"`, `"c"`, 1), `"tick_ms"`,
 		`"balancers":9,"prices":{"connection":0.08,"handshake":0.08},"tick_ms"`, 1) +
 		"MARK t_ms=1005.0\nSUBMIT i=2 ref=99 cls=c bitmap=0 object=4 expires_ms=1405.0\nEND\n" +
 		"MARK t_ms=1035.0\nRESOLVED i=2 ref=99 lag_ms=30.0 server=7 final=1 disposition=done send_no=0\nEND\n" +
