--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost hosts many balancers and speaks the simulator's wire on
-// standard input and output. The balancers share nothing; it decides nothing.
+// Command simhost hosts many independent balancers and speaks the simulator's
+// wire protocol on standard input and output. The balancers share no state, and
+// all decisions are made by package logic.
 package main
 
 import (
@@ -24,17 +25,18 @@
 	}
 }
 
+// host reads batches of events, passes each event to its balancer and collects the resulting actions in reply.
 type host struct {
 	in        *bufio.Reader
-	lineNo    int
+	lineNo    int // number of the line read last, from 1
 	line      wire.Line
 	reply     bytes.Buffer
 	actions      []logic.Action
-	instances map[uint64]*logic.Balancer
-	pages     map[uint64][]logic.Server
+	instances map[uint64]*logic.Balancer // balancers by instance number
+	pages     map[uint64][]logic.Server  // server lists by slot
 }
 
-// run answers batches until the input ends.
+// run reads batches and writes a reply to each until the input ends. Any error names the input line.
 func (h *host) run(in io.Reader, out io.Writer) error {
 	h.in = bufio.NewReaderSize(in, 1<<20)
 	for {
@@ -66,7 +68,7 @@
 	return wire.ParseLine(strings.TrimSuffix(strings.TrimSuffix(text, "\n"), "\r"), &h.line)
 }
 
-// nextInBatch reads a line of a batch, where the input may not end.
+// nextInBatch reads the next line of an unfinished batch. The end of the input is an error there.
 func (h *host) nextInBatch() error {
 	err := h.next()
 	if errors.Is(err, io.EOF) {
@@ -75,7 +77,7 @@
 	return err
 }
 
-// batch reads one batch, if there is one, and makes its reply.
+// batch reads one batch and appends its actions to the reply. It returns io.EOF if the input ends before the batch.
 func (h *host) batch() error {
 	if err := h.next(); err != nil {
 		return err
@@ -105,6 +107,7 @@
 	}
 }
 
+// page reads the entries of a PAGE and stores them under its slot for later MEMBERS events.
 func (h *host) page() error {
 	slot, err := h.line.Int("slot", true)
 	if err != nil {
@@ -129,7 +132,7 @@
 	return nil
 }
 
-// event hands one event to its instance.
+// event passes one event to its instance. Unknown events and events for unknown instances are ignored.
 func (h *host) event(now time.Duration) error {
 	inst, err := h.line.Int("i", true)
 	if err != nil {
@@ -155,6 +158,7 @@
 	return err
 }
 
+// members converts a MEMBERS line to an event. Its server list is the stored page of the named slot.
 func (h *host) members(ev *logic.Event) error {
 	form, _ := h.line.Text("form")
 	ev.Kind = logic.EvServerList
@@ -176,12 +180,14 @@
 	}
 	servers, ok := h.pages[slot]
 	if !ok {
-		return fmt.Errorf("MEMBERS: slot=%d has had no PAGE", slot)
+		return fmt.Errorf("MEMBERS: no PAGE received for slot=%d", slot)
 	}
 	ev.Servers = servers
 	return nil
 }
 
+// provision creates the balancer of an instance and replaces any previous one. Settings that package logic rejects are
+// reported in the reply as BROKEN; a malformed line is an error.
 func (h *host) provision(inst uint64) error {
 	delete(h.instances, inst)
 	seed, err := h.line.Int("random_seed", true)
@@ -205,7 +211,8 @@
 	return nil
 }
 
-// step runs one decision; a panic in the module is told as a fault.
+// step passes one event to a balancer and appends the resulting actions to the reply. If the balancer panics, the reply
+// reports the instance as BROKEN and the instance is removed.
 func (h *host) step(inst uint64, b *logic.Balancer, now time.Duration, ev *logic.Event) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The class is not one of the settings': it fails at once. Nothing else is said of it.
+	// The settings do not define the class cx: the request fails at once, and no other action follows for it.
 	if !strings.Contains(out, "WATCH i=2 want=1") || !strings.Contains(out, "FAIL i=2 ref=99") ||
 		strings.Count(out, "NEXT\n") != 3 {
 		t.Errorf("reply:\n%s", out)
@@ -62,7 +62,7 @@
 		"MARK t_ms=1\nSUBMIT i=1 ref=-4 cls=c\nEND\n": `line 2: SUBMIT: ref="-4" is not a whole number`,
 		"MARK t_ms=1\n":   "line 1: input ends within a batch",
 		"MARK t_ms=1\nEN": "line 1: input ends within a line",
-		"MARK t_ms=1\nMEMBERS i=1 form=Partial slot=2\nEND\n":                             "line 2: MEMBERS: slot=2 has had no PAGE",
+		"MARK t_ms=1\nMEMBERS i=1 form=Partial slot=2\nEND\n":                             "line 2: MEMBERS: no PAGE received for slot=2",
 		"MARK t_ms=1\nPAGE slot=0 rows_in=1\nEND\n":                                       "line 3: END where an ENTRY was due",
 		"MARK t_ms=1\nPAGE slot=0 rows_in=1\nENTRY server=1 state=odd\nEND\n":             `line 3: ENTRY: state="odd" is unknown`,
 		"MARK t_ms=1\nPROVISION i=1 random_seed=1 settings={\nEND\n":                      "line 2: PROVISION: settings: ",
@@ -93,7 +93,7 @@
 	}
 }
 
-// An idle connection's wake-up comes back by the server it names, and closes it.
+// The reminder of an idle connection carries the server in its token; its return closes the connection.
 func TestIdleConnectionIsReleased(t *testing.T) {
 	out, err := runHost(strings.Replace(strings.Replace(setupBatch, `"c x"`, `"c"`, 1), `"tick_ms"`,
 		`"balancers":9,"prices":{"connection":0.08,"handshake":0.08},"tick_ms"`, 1) +
