--- a/cmd/fieldrelay-fleet/main.go
+++ b/cmd/fieldrelay-fleet/main.go
@@ -1,5 +1,5 @@
-// Command fieldrelay-fleet is the sidecar with all that a fleet of sidecars
-// needs. fieldrelay becomes it where the operator's file names a fleet.
+// Command fieldrelay-fleet is the sidecar with the code for a fleet of sidecars.
+// Command fieldrelay executes it if the operator's file names a fleet.
 package main
 
 import (
@@ -12,7 +12,7 @@
 func main() {
 	daemon.Main(func(o daemon.FleetOptions, log zerolog.Logger) (daemon.Fleet, error) {
 		f, err := fleet.Start(o, log)
-		if err != nil { // a nil *fleet.Fleet would be no nil Fleet
+		if err != nil { // a nil *fleet.Fleet in a daemon.Fleet would not equal nil
 			return nil, err
 		}
 		return f, nil
--- a/cmd/fieldrelay/main.go
+++ b/cmd/fieldrelay/main.go
@@ -1,8 +1,9 @@
-// Command fieldrelay is the sidecar: it takes jobs from the submitter beside
-// it and places them on execute nodes. Without arguments it runs, as the
-// platform starts it; with some it becomes fieldrelayctl, which stands beside
-// it and reads them. Where the operator's file names a fleet, it becomes
-// fieldrelay-fleet: what only a fleet needs would take 8 MB of the others.
+// Command fieldrelay is the sidecar: it accepts jobs from the submitter on the
+// same machine and places them on execute nodes. The platform starts it without
+// arguments, and then it serves. With arguments it executes fieldrelayctl, which
+// is in the same folder and parses them. If the operator's file names a fleet, it
+// executes fieldrelay-fleet instead of serving: the code that only a fleet needs
+// would cost each sidecar without a fleet 8 MB of memory.
 package main
 
 import "fieldrelay/internal/sidecar/daemon"
