--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -31,7 +31,7 @@
 	lineNo    int // number of the line read last, from 1
 	line      wire.Line
 	reply     bytes.Buffer
-	actions      []logic.Action
+	actions   []logic.Action
 	instances map[uint64]*logic.Balancer // balancers by instance number
 	pages     map[uint64][]logic.Server  // server lists by slot
 }
