--- a/cmd/fieldlab/chaos.go
+++ b/cmd/fieldlab/chaos.go
@@ -17,8 +17,8 @@
 	"fieldrelay/internal/testkit/processfleet"
 )
 
-// errBroken is a run that broke something; its last line says what.
-var errBroken = errors.New("the run was not clean")
+// errRunFailed is a run that broke something; its last line says what.
+var errRunFailed = errors.New("the run was not clean")
 
 type chaosCmd struct {
 	Plan     string        `help:"TOML file of the plan; without one it is drawn from the seed." type:"existingfile" placeholder:"FILE"`
@@ -38,8 +38,8 @@
 	Show     bool          `help:"Print the plan and end."`
 }
 
-// workTime is how long a server works on a request.
-const workTime = 40 * time.Millisecond
+// serviceTime is how long a server works on a request.
+const serviceTime = 40 * time.Millisecond
 
 // Run plays a plan. Its last line is the verdict.
 func (c *chaosCmd) Run() (err error) {
@@ -60,7 +60,7 @@
 		return err
 	}
 	defer removeFolder()
-	fleet, hits, err := c.play(plan, opts)
+	fleet, hits, err := c.runPlan(plan, opts)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 	over := printLimit(plan, fleet.History.Entries())
 	fmt.Println(verdict)
 	if !verdict.Passed() || over {
-		return errBroken
+		return errRunFailed
 	}
 	return nil
 }
@@ -91,7 +91,7 @@
 
 // options are what the fleet is made with. The second result removes the fleet's folder, unless the user names one.
 func (c *chaosCmd) options(plan processfleet.Plan) (opts processfleet.Options, remove func(), err error) {
-	opts = processfleet.Options{Binary: c.Binary, Sidecars: plan.Sidecars, Nodes: plan.Nodes, Seed: plan.Seed, Work: workTime, Dir: c.Logs, Keep: plan.Keep,
+	opts = processfleet.Options{Binary: c.Binary, Sidecars: plan.Sidecars, Nodes: plan.Nodes, Seed: plan.Seed, Work: serviceTime, Dir: c.Logs, Keep: plan.Keep,
 		Tail: plan.Limits(), Pace: time.Duration(plan.Pace) * time.Millisecond}
 	if opts.Binary == "" {
 		self, err := os.Executable()
@@ -110,9 +110,9 @@
 	return opts, func() { _ = os.RemoveAll(opts.Dir) }, err
 }
 
-// play plays the plan, until it ends or the user ends it. The fleet that it returns has ended too; the hits are what its links
+// runPlan plays the plan, until it ends or the user ends it. The fleet that it returns has ended too; the hits are what its links
 // did until then.
-func (c *chaosCmd) play(plan processfleet.Plan, opts processfleet.Options) (fleet *processfleet.Fleet, hits faultline.Hits, err error) {
+func (c *chaosCmd) runPlan(plan processfleet.Plan, opts processfleet.Options) (fleet *processfleet.Fleet, hits faultline.Hits, err error) {
 	var trace io.Writer
 	if c.Trace != "" {
 		file, openErr := os.Create(c.Trace)
--- a/cmd/fieldlab/main.go
+++ b/cmd/fieldlab/main.go
@@ -35,7 +35,7 @@
 	ctx := kong.Parse(&c, kong.Name("fieldlab"), kong.Vars{"policies": fmt.Sprint(emulate.Policies())},
 		kong.Description("The lab of fieldrelay.\n\nExample:\n  fieldlab emulate example/lab/rough.toml --policy all --seed 3"))
 	err := ctx.Run()
-	if errors.Is(err, errBroken) { // its last line has said so
+	if errors.Is(err, errRunFailed) { // its last line has said so
 		os.Exit(1)
 	}
 	ctx.FatalIfErrorf(err)
--- a/cmd/fieldlab/peers.go
+++ b/cmd/fieldlab/peers.go
@@ -35,14 +35,14 @@
 		binary = filepath.Join(filepath.Dir(self), "fieldrelay")
 	}
 	for _, n := range c.Sidecars {
-		if err := c.one(binary, n); err != nil {
+		if err := c.measureFleet(binary, n); err != nil {
 			return fmt.Errorf("%d sidecars: %w", n, err)
 		}
 	}
 	return nil
 }
 
-func (c *peersCmd) one(binary string, n int) (err error) {
+func (c *peersCmd) measureFleet(binary string, n int) (err error) {
 	dir, err := os.MkdirTemp("", "fieldlab-peers-")
 	if err != nil {
 		return err
@@ -68,7 +68,7 @@
 	fmt.Printf("  a survivor knows of a crash:   %v\n  all survivors know:            %v\n  all hold a view without it:    %v\n  all hold a view with it again: %v\n",
 		d.Known, d.All, d.View, d.Back)
 	r.Weather(faultline.Fault{Loss: c.Loss, Jitter: c.Jitter})
-	defer burn(c.Burn)()
+	defer burnCPU(c.Burn)()
 	u, err := r.Usage(c.For)
 	if err != nil {
 		return err
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// burn takes CPU until the returned function is called.
-func burn(threads int) func() {
+// burnCPU takes CPU until the returned function is called.
+func burnCPU(threads int) func() {
 	if threads < 0 {
 		threads = runtime.NumCPU()
 	}
@@ -113,7 +113,7 @@
 // Run plays storms, or a calm, in simulated time.
 func (c *stormCmd) Run() error {
 	if c.Quiet {
-		return c.calm()
+		return c.measureQuiet()
 	}
 	broken := 0
 	for seed := range c.Seeds {
@@ -130,12 +130,12 @@
 	}
 	fmt.Printf("storms %d, rules broken %d\n", c.Seeds, broken)
 	if broken > 0 {
-		return errBroken
+		return errRunFailed
 	}
 	return nil
 }
 
-func (c *stormCmd) calm() error {
+func (c *stormCmd) measureQuiet() error {
 	w := fleetsim.New(fleetsim.Options{Members: c.Members, Voters: c.Voters, Delay: time.Millisecond, Seed: 1})
 	w.StartAll(10 * time.Second)
 	w.Run(10*time.Second, nil)
@@ -163,13 +163,13 @@
 	}
 	fmt.Printf("quiet: a member sends %.1f messages and %.0f bytes a second (most %.0f), a voter %.1f and %.0f (most %.0f)\n",
 		other.messages, other.bytes, other.most, voter.messages, voter.bytes, voter.most)
-	held := 0
+	holding := 0
 	for _, n := range w.Nodes() {
 		if n.Core.Mode().String() == "together" {
-			held++
+			holding++
 		}
 	}
-	fmt.Printf("%d of %d hold the view\n", held, c.Members)
+	fmt.Printf("%d of %d hold the view\n", holding, c.Members)
 	victim := w.Node(c.Members - 1)
 	victim.Kill()
 	from := w.Now()
