--- a/cmd/fieldlab/chaos.go
+++ b/cmd/fieldlab/chaos.go
@@ -17,8 +17,8 @@
 	"fieldrelay/internal/testkit/processfleet"
 )
 
-// errRunFailed is a run that broke something; its last line says what.
-var errRunFailed = errors.New("the run was not clean")
+// errRunFailed reports that a run broke a rule or exceeded a bound. The command has already printed what failed.
+var errRunFailed = errors.New("the run broke a rule or exceeded a bound")
 
 type chaosCmd struct {
 	Plan     string        `help:"TOML file of the plan; without one it is drawn from the seed." type:"existingfile" placeholder:"FILE"`
@@ -38,10 +38,11 @@
 	Show     bool          `help:"Print the plan and end."`
 }
 
-// serviceTime is how long a server works on a request.
+// serviceTime is the time that an execute node takes for a request.
 const serviceTime = 40 * time.Millisecond
 
-// Run plays a plan. Its last line is the verdict.
+// Run runs a fault plan against a fleet of real processes and judges the history. The last line that it prints is the
+// verdict.
 func (c *chaosCmd) Run() (err error) {
 	plan, err := c.plan()
 	if err != nil {
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// plan is the one that is drawn, or read from a file.
+// plan reads the fault plan from the file that the user names. Without a file it generates one from the seed.
 func (c *chaosCmd) plan() (processfleet.Plan, error) {
 	if c.Plan != "" {
 		return processfleet.ReadPlan(c.Plan)
@@ -89,7 +90,7 @@
 	return plan, nil
 }
 
-// options are what the fleet is made with. The second result removes the fleet's folder, unless the user names one.
+// options returns the options of the fleet. The second result removes the fleet's folder, unless the user chose it.
 func (c *chaosCmd) options(plan processfleet.Plan) (opts processfleet.Options, remove func(), err error) {
 	opts = processfleet.Options{Binary: c.Binary, Sidecars: plan.Sidecars, Nodes: plan.Nodes, Seed: plan.Seed, Work: serviceTime, Dir: c.Logs, Keep: plan.Keep,
 		Tail: plan.Limits(), Pace: time.Duration(plan.Pace) * time.Millisecond}
@@ -110,8 +111,8 @@
 	return opts, func() { _ = os.RemoveAll(opts.Dir) }, err
 }
 
-// runPlan plays the plan, until it ends or the user ends it. The fleet that it returns has ended too; the hits are what its links
-// did until then.
+// runPlan runs the plan until its end or until SIGINT or SIGTERM. The returned fleet is closed; hits counts the faults and the
+// traffic on its links up to that point.
 func (c *chaosCmd) runPlan(plan processfleet.Plan, opts processfleet.Options) (fleet *processfleet.Fleet, hits faultline.Hits, err error) {
 	var trace io.Writer
 	if c.Trace != "" {
@@ -133,7 +134,7 @@
 	return fleet, hits, errors.Join(err, fleet.Close())
 }
 
-// writeHistory writes the fleet's history where the user wants it.
+// writeHistory writes the fleet's history to the file that the user names, if any.
 func (c *chaosCmd) writeHistory(fleet *processfleet.Fleet) error {
 	if c.History == "" {
 		return nil
@@ -145,7 +146,7 @@
 	return errors.Join(fleet.History.Write(file), file.Close())
 }
 
-// printVerdict prints the broken rules and the counts.
+// printVerdict prints the results of the rules and the counts of requests, faults and link events.
 func printVerdict(v checker.Verdict, hits faultline.Hits) {
 	for _, rule := range v.Rules {
 		fmt.Println(rule)
@@ -156,7 +157,7 @@
 		v.Strikes, v.Hit, hits.Datagrams, hits.Lost, hits.Duplicated, hits.Delayed, hits.Streams, hits.Cut, hits.Refused, hits.Hung)
 }
 
-// printLimit prints how the plan's limit was used, if it has one, and reports whether it was exceeded.
+// printLimit prints the use of the plan's rate limit, if it has one, and reports whether the limit was exceeded.
 func printLimit(plan processfleet.Plan, entries []checker.Entry) (over bool) {
 	if plan.Limit == 0 {
 		return false
--- a/cmd/fieldlab/interface_test.go
+++ b/cmd/fieldlab/interface_test.go
@@ -12,7 +12,7 @@
 
 var update = flag.Bool("update", false, "write the recorded copies")
 
-// The commands, arguments and flags are those that were recorded.
+// The commands, arguments and flags equal the recorded copy in testdata/commands.txt.
 func TestRecordedCommands(t *testing.T) {
 	var commands cli
 	parser, err := kong.New(&commands, kong.Name("fieldlab"), kong.Vars{"policies": ""})
--- a/cmd/fieldlab/main.go
+++ b/cmd/fieldlab/main.go
@@ -1,5 +1,6 @@
-// Command fieldlab is the lab of fieldrelay: it tries designs at sizes that
-// sockets don't reach, and has real fleets suffer faults.
+// Command fieldlab evaluates fieldrelay: it emulates placement policies and fleets
+// in simulated time, at sizes that real sockets do not reach, and injects faults
+// into fleets of real processes.
 package main
 
 import (
@@ -16,6 +17,7 @@
 	"fieldrelay/internal/testkit/emulate"
 )
 
+// cli defines the commands for kong.
 type cli struct {
 	Emulate emulateCmd `cmd:"" help:"Run a scenario in simulated time, with the decision module or another policy."`
 	Chaos   chaosCmd   `cmd:"" help:"Run a fleet of real sidecars, inject faults between and into them, and judge the history."`
@@ -35,13 +37,14 @@
 	ctx := kong.Parse(&c, kong.Name("fieldlab"), kong.Vars{"policies": fmt.Sprint(emulate.Policies())},
 		kong.Description("The lab of fieldrelay.\n\nExample:\n  fieldlab emulate example/lab/rough.toml --policy all --seed 3"))
 	err := ctx.Run()
-	if errors.Is(err, errRunFailed) { // its last line has said so
+	if errors.Is(err, errRunFailed) { // the command has already printed what failed
 		os.Exit(1)
 	}
 	ctx.FatalIfErrorf(err)
 }
 
-// Run emulates and prints a table.
+// Run emulates the scenario under each policy, prints a table of the results to standard error and writes them as JSON if
+// the user asks for it.
 func (c *emulateCmd) Run() (err error) {
 	s, err := emulate.Read(c.Scenario)
 	if err != nil {
@@ -90,6 +93,7 @@
 	return table.Flush()
 }
 
+// fraction returns part/of, or 0 if of is 0.
 func fraction(part, of uint64) float64 {
 	if of == 0 {
 		return 0
--- a/cmd/fieldlab/peers.go
+++ b/cmd/fieldlab/peers.go
@@ -24,7 +24,7 @@
 	Binary   string        `help:"The sidecar's program; as a rule the one beside this." placeholder:"FILE"`
 }
 
-// Run measures what knowing each other costs, and how soon a crash is known.
+// Run measures, for each fleet size, the cost of the membership protocol and the time until a crash is detected.
 func (c *peersCmd) Run() error {
 	binary := c.Binary
 	if binary == "" {
@@ -42,6 +42,7 @@
 	return nil
 }
 
+// measureFleet measures one fleet of n real sidecars.
 func (c *peersCmd) measureFleet(binary string, n int) (err error) {
 	dir, err := os.MkdirTemp("", "fieldlab-peers-")
 	if err != nil {
@@ -58,7 +59,7 @@
 	}
 	took, ok := processfleet.Until(time.Minute, func() bool { return r.Agrees() && r.Agreed() })
 	if !ok {
-		return errors.New("they do not come together")
+		return errors.New("the sidecars did not agree on one view within a minute")
 	}
 	fmt.Printf("%d sidecars: one view of all after %v\n", n, took.Round(time.Millisecond))
 	d, err := r.Crashes(c.Crashes)
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// burnCPU takes CPU until the returned function is called.
+// burnCPU starts threads that use CPU until the returned function is called. A negative number starts one for each core.
 func burnCPU(threads int) func() {
 	if threads < 0 {
 		threads = runtime.NumCPU()
@@ -110,7 +111,7 @@
 	Quiet   bool          `help:"No storm: start all, let a minute pass and count traffic."`
 }
 
-// Run plays storms, or a calm, in simulated time.
+// Run runs fault schedules (storms) in simulated time, one for each seed, or measures the traffic of a fleet without faults.
 func (c *stormCmd) Run() error {
 	if c.Quiet {
 		return c.measureQuiet()
@@ -124,7 +125,7 @@
 			fmt.Printf("seed %d: %s\n", seed+1, b)
 		}
 		if broken += len(s.Broken); s.ConvergedAfter < 0 {
-			fmt.Printf("seed %d: no agreement within the bound after all was healed\n", seed+1)
+			fmt.Printf("seed %d: the members did not agree within the bound after all faults had ended\n", seed+1)
 			broken++
 		}
 	}
@@ -135,12 +136,14 @@
 	return nil
 }
 
+// measureQuiet measures the traffic of a fleet without faults in simulated time, then the time until the survivors of one
+// crash agree on the next view.
 func (c *stormCmd) measureQuiet() error {
 	w := fleetsim.New(fleetsim.Options{Members: c.Members, Voters: c.Voters, Delay: time.Millisecond, Seed: 1})
 	w.StartAll(10 * time.Second)
 	w.Run(10*time.Second, nil)
 	if !w.Run(w.Now()+10*time.Minute, w.Agreed) {
-		return errors.New("they do not agree within 10 minutes")
+		return errors.New("the members did not agree on a view within 10 simulated minutes")
 	}
 	fmt.Printf("%d members: one view of all after %v\n", c.Members, w.Now())
 	w.Run(w.Now()+time.Minute, nil)
@@ -174,7 +177,7 @@
 	victim.Kill()
 	from := w.Now()
 	if !w.Run(from+time.Minute, w.Agreed) {
-		return errors.New("a crash is not agreed upon within a minute")
+		return errors.New("the survivors did not agree on a view without the crashed member within a simulated minute")
 	}
 	fmt.Printf("after a crash all hold the next view within %v\n", (w.Now() - from).Round(time.Millisecond))
 	return nil
