--- a/example/region/calls.go
+++ b/example/region/calls.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "write the configuration as JSON")
 	}
-	_, err = until(ctx, func() (*http.Request, error) {
+	_, err = retryUntilOK(ctx, func() (*http.Request, error) {
 		request, err := http.NewRequest(http.MethodPost, "http://"+control+"/api/conf/replace", bytes.NewReader(body))
 		if err == nil {
 			request.Header.Set("X-Fieldrelay-Base-Rev", "0")
@@ -75,25 +75,25 @@
 // lookUp asks the directory until it knows where clients go.
 func lookUp(ctx context.Context, directory string) (edge string, err error) {
 	url := "http://" + directory + "/api/lookup?name=" + host + "&geo=" + localcluster.Zones[localcluster.ZoneNames[0]] + "&az=" + localcluster.ZoneNames[0]
-	answer, err := until(ctx, func() (*http.Request, error) { return http.NewRequest(http.MethodGet, url, nil) })
+	answer, err := retryUntilOK(ctx, func() (*http.Request, error) { return http.NewRequest(http.MethodGet, url, nil) })
 	if err != nil {
 		return "", errors.Wrap(err, "ask the directory")
 	}
-	var told operator.Endpoints
-	if err := json.Unmarshal(answer, &told); err != nil || len(told.Endpoints) == 0 {
+	var endpoints operator.Endpoints
+	if err := json.Unmarshal(answer, &endpoints); err != nil || len(endpoints.Endpoints) == 0 {
 		return "", errors.Newf("the directory answered %s", answer)
 	}
-	return told.Endpoints[0], nil
+	return endpoints.Endpoints[0], nil
 }
 
-// until sends a call again until it is answered with 200, and returns the answer's body.
-func until(ctx context.Context, call func() (*http.Request, error)) ([]byte, error) {
+// retryUntilOK sends a call again retryUntilOK it is answered with 200, and returns the answer's body.
+func retryUntilOK(ctx context.Context, call func() (*http.Request, error)) ([]byte, error) {
 	for {
 		request, err := call()
 		if err != nil {
 			return nil, err
 		}
-		body, err := once(ctx, request)
+		body, err := sendOnce(ctx, request)
 		if err == nil {
 			return body, nil
 		}
@@ -105,8 +105,8 @@
 	}
 }
 
-// once sends a call once.
-func once(ctx context.Context, request *http.Request) ([]byte, error) {
+// sendOnce sends a call sendOnce.
+func sendOnce(ctx context.Context, request *http.Request) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callLimit)
 	defer cancel()
 	response, err := http.DefaultClient.Do(request.WithContext(ctx))
--- a/example/region/layout.go
+++ b/example/region/layout.go
@@ -8,8 +8,8 @@
 const (
 	controlMachines = 3
 
-	// graceS is the time, in seconds, that processes get to end: nobody else uses them.
-	graceS = 1
+	// graceSeconds is the time, in seconds, that processes get to end: nobody else uses them.
+	graceSeconds = 1
 
 	// network is the first parts of all addresses. The proxy is fed at 127.0.0.1, so that a host can bear only one edge
 	// machine.
@@ -26,7 +26,7 @@
 // newLayout gives each machine a loopback address of its own. All machines use the same ports, which are free.
 func newLayout(folder, platform string) (*layout, error) {
 	planned, err := localcluster.New(localcluster.Options{
-		Controls: controlMachines, Edges: 1, Network: network, Folder: folder, Platform: platform, GraceS: graceS,
+		Controls: controlMachines, Edges: 1, Network: network, Folder: folder, Platform: platform, GraceS: graceSeconds,
 	})
 	if err != nil {
 		return nil, err
--- a/example/region/main.go
+++ b/example/region/main.go
@@ -46,7 +46,7 @@
 			return err
 		}
 	}
-	return play(ctx, program, folder, output)
+	return runExample(ctx, program, folder, output)
 }
 
 // build builds the program into a folder.
@@ -56,8 +56,8 @@
 	return path, errors.Wrapf(err, "build fieldrelay-region: %s", output)
 }
 
-// play starts everything, plays the steps and ends everything.
-func play(ctx context.Context, program, folder string, output io.Writer) error {
+// runExample starts everything, plays the steps and ends everything.
+func runExample(ctx context.Context, program, folder string, output io.Writer) error {
 	platform, err := startPlatform()
 	if err != nil {
 		return err
@@ -80,14 +80,14 @@
 	if _, err := fmt.Fprintf(output, "started %d processes, a platform and %d model servers\n", len(started.list), len(servers)); err != nil {
 		return errors.Wrap(err, "print what was started")
 	}
-	if err := steps(ctx, layout, output); err != nil {
+	if err := runSteps(ctx, layout, output); err != nil {
 		return errors.Wrapf(err, "logs of the processes:\n%s", started.logs())
 	}
 	return showStatus(ctx, program, layout, output)
 }
 
-// steps are what an operator and a client do.
-func steps(ctx context.Context, layout *layout, output io.Writer) error {
+// runSteps are what an operator and a client do.
+func runSteps(ctx context.Context, layout *layout, output io.Writer) error {
 	generation, err := putConfiguration(ctx, layout.controls[0].Binds.Control)
 	if err != nil {
 		return err
--- a/example/region/standins.go
+++ b/example/region/stubs.go
@@ -24,48 +24,48 @@
 	capacity = 8
 )
 
-// standin is an HTTP server on a port of its own at 127.0.0.1.
-type standin struct {
+// stubServer is an HTTP server on a port of its own at 127.0.0.1.
+type stubServer struct {
 	address string
 	server  *http.Server
 }
 
-func startStandin(handler http.Handler) (*standin, error) {
+func startStubServer(handler http.Handler) (*stubServer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for a stand-in")
 	}
-	one := &standin{address: listener.Addr().String(), server: &http.Server{Handler: handler}}
+	one := &stubServer{address: listener.Addr().String(), server: &http.Server{Handler: handler}}
 	go func() { _ = one.server.Serve(listener) }() // it ends with stop
 	return one, nil
 }
 
-func (s *standin) stop() { _ = s.server.Close() }
+func (s *stubServer) stop() { _ = s.server.Close() }
 
-// platform stands in for the platform's list of servers.
-type platform struct {
-	*standin
+// stubPlatform replaces the platform: it serves the list of model servers.
+type stubPlatform struct {
+	*stubServer
 	mutex   sync.Mutex
 	servers []operator.ServerEntry
 }
 
-func startPlatform() (*platform, error) {
-	p := &platform{}
+func startPlatform() (*stubPlatform, error) {
+	p := &stubPlatform{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /servers", p.list)
-	served, err := startStandin(mux)
-	p.standin = served
+	served, err := startStubServer(mux)
+	p.stubServer = served
 	return p, err
 }
 
 // add puts a server on the list.
-func (p *platform) add(entry operator.ServerEntry) {
+func (p *stubPlatform) add(entry operator.ServerEntry) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.servers = append(p.servers, entry)
 }
 
-func (p *platform) list(w http.ResponseWriter, _ *http.Request) {
+func (p *stubPlatform) list(w http.ResponseWriter, _ *http.Request) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	w.Header().Set("Content-Type", "application/json")
@@ -74,24 +74,24 @@
 
 // modelServer stands in for a model server: it answers every request with a few events.
 type modelServer struct {
-	*standin
+	*stubServer
 	id string
 }
 
 // startServers starts a model server in each of two zones and puts them on the platform's list.
-func startServers(platform *platform) ([]*modelServer, error) {
+func startServers(platform *stubPlatform) ([]*modelServer, error) {
 	var servers []*modelServer
 	for index, zone := range localcluster.ZoneNames[:2] {
 		one := &modelServer{id: fmt.Sprintf("i-%d", index+1)}
 		mux := http.NewServeMux()
 		mux.HandleFunc("GET /healthz", one.health)
 		mux.HandleFunc("/", one.answer)
-		served, err := startStandin(mux)
+		served, err := startStubServer(mux)
 		if err != nil {
 			stopServers(servers)
 			return nil, err
 		}
-		one.standin = served
+		one.stubServer = served
 		servers = append(servers, one)
 		platform.add(operator.ServerEntry{
 			InstID: one.id, Backend: service, Address: one.address, Az: zone, Capacity: capacity, Phase: "up",
