--- a/example/region/calls.go
+++ b/example/region/calls.go
@@ -21,24 +21,25 @@
 	host = "lm.example"
 	path = "/v1/generate"
 
-	// retryInterval is the wait before a call that was not answered well is sent again.
+	// retryInterval is the wait before a failed call is sent again.
 	retryInterval = 100 * time.Millisecond
 
-	// callLimit bounds one call.
+	// callLimit is the timeout of a single call.
 	callLimit = 5 * time.Second
 )
 
-// StatusError tells that a call was answered with another status than 200.
+// StatusError reports that a call was answered with a status other than 200.
 type StatusError struct {
 	Call   string
 	Status int
 	Body   string
 }
 
-// Error names the call, its status and body.
-func (e *StatusError) Error() string { return fmt.Sprintf("%s: %d %s", e.Call, e.Status, e.Body) }
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("%s answered %d: %s", e.Call, e.Status, e.Body)
+}
 
-// configuration routes everything under /v1/ to the stand-in service.
+// configuration returns a configuration that routes all paths under /v1/ to the stub model servers.
 func configuration() operator.Configuration {
 	kind := operator.RouteRouteKind("streaming")
 	target, tries := int64(800), 2
@@ -53,8 +54,8 @@
 	}
 }
 
-// putConfiguration sends the first configuration again until it is acknowledged: the system may still be
-// founding itself.
+// putConfiguration sends the first configuration repeatedly until it is acknowledged: the control machines may still be
+// bootstrapping the cluster.
 func putConfiguration(ctx context.Context, control string) (generation int64, err error) {
 	sent := configuration()
 	body, err := json.Marshal(sent)
@@ -69,24 +70,25 @@
 		}
 		return request, err
 	})
-	return sent.Gen, errors.Wrap(err, "put the configuration in force")
+	return sent.Gen, errors.Wrap(err, "send the configuration to the control machine")
 }
 
-// lookUp asks the directory until it knows where clients go.
+// lookUp queries the directory until it answers with the proxies for a client and returns the first of them.
 func lookUp(ctx context.Context, directory string) (edge string, err error) {
 	url := "http://" + directory + "/api/lookup?name=" + host + "&geo=" + localcluster.Zones[localcluster.ZoneNames[0]] + "&az=" + localcluster.ZoneNames[0]
 	answer, err := retryUntilOK(ctx, func() (*http.Request, error) { return http.NewRequest(http.MethodGet, url, nil) })
 	if err != nil {
-		return "", errors.Wrap(err, "ask the directory")
+		return "", errors.Wrap(err, "query the directory")
 	}
 	var endpoints operator.Endpoints
 	if err := json.Unmarshal(answer, &endpoints); err != nil || len(endpoints.Endpoints) == 0 {
-		return "", errors.Newf("the directory answered %s", answer)
+		return "", errors.Newf("the directory answered without an endpoint: %s", answer)
 	}
 	return endpoints.Endpoints[0], nil
 }
 
-// retryUntilOK sends a call again retryUntilOK it is answered with 200, and returns the answer's body.
+// retryUntilOK sends a call repeatedly until it is answered with 200 and returns the body of the answer. The argument
+// call creates the request of each attempt.
 func retryUntilOK(ctx context.Context, call func() (*http.Request, error)) ([]byte, error) {
 	for {
 		request, err := call()
@@ -105,7 +107,7 @@
 	}
 }
 
-// sendOnce sends a call sendOnce.
+// sendOnce sends a request once, within callLimit, and returns the body of the answer.
 func sendOnce(ctx context.Context, request *http.Request) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callLimit)
 	defer cancel()
@@ -121,7 +123,7 @@
 	return body, err
 }
 
-// stream sends one request to a proxy and prints the events as they come.
+// stream sends one request to a proxy and prints each event of the answer as it arrives.
 func stream(ctx context.Context, edge string, output io.Writer) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+edge+path, strings.NewReader("a prompt"))
 	if err != nil {
@@ -135,21 +137,21 @@
 	began := time.Now()
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "send a request")
+		return errors.Wrap(err, "send the streamed request to the proxy")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		body, _ := io.ReadAll(response.Body) // what was read of it is told
+		body, _ := io.ReadAll(response.Body) // after a read error, the part that was read is reported
 		return &StatusError{Call: path, Status: response.StatusCode, Body: string(body)}
 	}
 	if _, err := fmt.Fprintf(output, "request %s: 200 after %s, seal %s\n", request.Header.Get("X-Fieldrelay-Attempt-Id"),
 		time.Since(began).Round(time.Millisecond), response.Header.Get("X-Fieldrelay-Server-Seal")); err != nil {
-		return errors.Wrap(err, "print the answer's head")
+		return errors.Wrap(err, "print the status of the answer")
 	}
 	return printEvents(response.Body, output)
 }
 
-// printEvents prints the data of each event and checks that all of them came.
+// printEvents prints the data of each event and checks that the answer has all events.
 func printEvents(body io.Reader, output io.Writer) error {
 	seen := 0
 	lines := bufio.NewScanner(body)
@@ -165,7 +167,7 @@
 		return errors.Wrap(err, "read the events")
 	}
 	if seen != events {
-		return errors.Newf("%d of %d events came", seen, events)
+		return errors.Newf("answer cut short: %d of %d events received", seen, events)
 	}
 	return nil
 }
--- a/example/region/layout.go
+++ b/example/region/layout.go
@@ -8,22 +8,23 @@
 const (
 	controlMachines = 3
 
-	// graceSeconds is the time, in seconds, that processes get to end: nobody else uses them.
+	// graceSeconds is the drain period of a stopping process in seconds. It is short because the example has no other
+	// clients.
 	graceSeconds = 1
 
-	// network is the first parts of all addresses. The proxy is fed at 127.0.0.1, so that a host can bear only one edge
-	// machine.
+	// network is the first three octets of all machine addresses. The agent feeds the proxy at 127.0.0.1, so a host can
+	// run only one edge machine.
 	network = "127.0.0"
 )
 
-// layout is the settings of every machine.
+// layout holds the settings of every machine.
 type layout struct {
 	*localcluster.Layout
 	controls []*settings.Settings
 	edge     *settings.Settings
 }
 
-// newLayout gives each machine a loopback address of its own. All machines use the same ports, which are free.
+// newLayout assigns each machine a loopback address of its own and chooses free ports, which are the same on all machines.
 func newLayout(folder, platform string) (*layout, error) {
 	planned, err := localcluster.New(localcluster.Options{
 		Controls: controlMachines, Edges: 1, Network: network, Folder: folder, Platform: platform, GraceS: graceSeconds,
--- a/example/region/main.go
+++ b/example/region/main.go
@@ -1,6 +1,6 @@
-// Command region starts the whole regional system on loopback: three control machines, an edge machine with its
-// agent and proxy, and stand-ins of ours for the platform and for two model servers. It puts a configuration in
-// force, sends one streamed request, shows the system's state, prints what happened and ends.
+// Command region runs the whole regional system on loopback: three control machines, an edge machine with its agent
+// and proxy, and stubs for the platform and for two model servers. It applies a configuration, sends one streamed
+// request, prints the status of the control machines and the result of each step, and exits.
 package main
 
 import (
@@ -18,11 +18,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// limit bounds the whole run.
+// limit is the timeout of the whole run.
 const limit = time.Minute
 
 func main() {
-	program := flag.String("program", "", "fieldrelay-region; it is built when none is named")
+	program := flag.String("program", "", "path of fieldrelay-region; if empty, the example builds it")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -32,13 +32,13 @@
 	}
 }
 
-// run plays the example, with everything it writes in a folder that it removes.
+// run runs the example in a temporary folder and removes the folder afterwards.
 func run(ctx context.Context, program string, output io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	folder, err := os.MkdirTemp("", "fieldrelay-region-")
 	if err != nil {
-		return errors.Wrap(err, "make a folder")
+		return errors.Wrap(err, "create the temporary folder")
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
 	if program == "" {
@@ -49,14 +49,14 @@
 	return runExample(ctx, program, folder, output)
 }
 
-// build builds the program into a folder.
+// build compiles fieldrelay-region into folder and returns the path of the program.
 func build(ctx context.Context, folder string) (string, error) {
 	path := filepath.Join(folder, "fieldrelay-region")
 	output, err := exec.CommandContext(ctx, "go", "build", "-o", path, "fieldrelay/cmd/fieldrelay-region").CombinedOutput()
 	return path, errors.Wrapf(err, "build fieldrelay-region: %s", output)
 }
 
-// runExample starts everything, plays the steps and ends everything.
+// runExample starts the stubs and the processes, runs the steps, prints the status and stops everything.
 func runExample(ctx context.Context, program, folder string, output io.Writer) error {
 	platform, err := startPlatform()
 	if err != nil {
@@ -86,7 +86,8 @@
 	return showStatus(ctx, program, layout, output)
 }
 
-// runSteps are what an operator and a client do.
+// runSteps performs the steps of an operator, who applies a configuration, and of a client, which looks up a proxy and
+// sends a request.
 func runSteps(ctx context.Context, layout *layout, output io.Writer) error {
 	generation, err := putConfiguration(ctx, layout.controls[0].Binds.Control)
 	if err != nil {
@@ -105,13 +106,13 @@
 	return stream(ctx, edge, output)
 }
 
-// showStatus prints what the control machines say.
+// showStatus runs the command status of fieldrelay-region against the first control machine.
 func showStatus(ctx context.Context, program string, layout *layout, output io.Writer) error {
 	command := exec.CommandContext(ctx, program, "status", layout.controls[0].Port(0))
 	command.Stdout = output
 	command.Stderr = output
 	if _, err := fmt.Fprintf(output, "\nfieldrelay-region status %s:\n", layout.controls[0].Port(0)); err != nil {
-		return errors.Wrap(err, "print the command")
+		return errors.Wrap(err, "print the status command")
 	}
-	return errors.Wrap(command.Run(), "ask for the status")
+	return errors.Wrap(command.Run(), "run fieldrelay-region status")
 }
--- a/example/region/main_test.go
+++ b/example/region/main_test.go
@@ -44,7 +44,7 @@
 
 func TestAnAnswerThatIsCutIsAnError(t *testing.T) {
 	var output bytes.Buffer
-	require.ErrorContains(t, printEvents(bytes.NewBufferString("id: 1\ndata: a\n\n"), &output), "1 of 5 events came")
+	require.ErrorContains(t, printEvents(bytes.NewBufferString("id: 1\ndata: a\n\n"), &output), "answer cut short: 1 of 5 events received")
 }
 
 func TestARefusalIsAnError(t *testing.T) {
--- a/example/region/processes.go
+++ b/example/region/processes.go
@@ -16,7 +16,7 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// endLimit is how long a process may take to end after it was asked to.
+// endLimit is the time that a process may take to exit after SIGTERM.
 const endLimit = 15 * time.Second
 
 // process is one process of the system.
@@ -25,15 +25,15 @@
 	command *exec.Cmd
 	log     syncBuffer
 	ended   chan struct{}
-	err     error // why it ended; set before ended is closed
+	err     error // result of Wait; written before ended is closed
 }
 
-// processes are all that were started.
+// processes holds the started processes in the order of their start.
 type processes struct {
 	list []*process
 }
 
-// startProcesses starts every process of the system. What was started is returned also with an error.
+// startProcesses starts every process of the system. If it returns an error, it also returns the processes started before.
 func startProcesses(program string, layout *layout) (*processes, error) {
 	started := &processes{}
 	for _, own := range layout.controls {
@@ -49,7 +49,7 @@
 	return started, nil
 }
 
-// start starts one process with its settings in a file.
+// start writes the settings of a machine to a file and starts one process that reads them.
 func (p *processes) start(program, role string, own *settings.Settings, layout *layout) error {
 	path, err := layout.Write(own)
 	if err != nil {
@@ -69,18 +69,18 @@
 	return nil
 }
 
-// stop asks the processes to end, those of the edge machine first, waits for them and tells how they ended.
+// stop sends SIGTERM to the processes, those of the edge machine first, waits for them and prints how each exited.
 func (p *processes) stop(output io.Writer) {
 	for index := len(p.list) - 1; index >= 0; index-- {
 		one := p.list[index]
-		_ = one.command.Process.Signal(syscall.SIGTERM) // it may have ended by itself
+		_ = one.command.Process.Signal(syscall.SIGTERM) // fails if the process has already exited
 	}
 	for index := len(p.list) - 1; index >= 0; index-- {
 		p.list[index].await(output)
 	}
 }
 
-// await waits for a process that was asked to end and kills it when it takes too long.
+// await waits for a process that has received SIGTERM, kills it after endLimit and prints how it exited.
 func (p *process) await(output io.Writer) {
 	timer := time.NewTimer(endLimit)
 	defer timer.Stop()
@@ -97,7 +97,7 @@
 	_, _ = fmt.Fprintf(output, "%s ended in order\n", p.name)
 }
 
-// logs is what all processes wrote.
+// logs returns the log output of all processes.
 func (p *processes) logs() string {
 	var text strings.Builder
 	for _, one := range p.list {
@@ -106,7 +106,7 @@
 	return text.String()
 }
 
-// syncBuffer is a buffer that is read while a process writes to it.
+// syncBuffer is a buffer for concurrent use: it is read while a process writes to it.
 type syncBuffer struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
--- a/example/region/stubs.go
+++ b/example/region/stubs.go
@@ -17,14 +17,14 @@
 	service = "example-lm"
 	model   = "m"
 
-	// events is the number of events of each answer.
+	// events is the number of events in each answer of a stub model server.
 	events = 5
 
-	// capacity is the number of requests that a stand-in server claims to bear at once.
+	// capacity is the number of concurrent requests that the platform's list states for a stub model server.
 	capacity = 8
 )
 
-// stubServer is an HTTP server on a port of its own at 127.0.0.1.
+// stubServer is an HTTP server on a free port of 127.0.0.1.
 type stubServer struct {
 	address string
 	server  *http.Server
@@ -33,10 +33,10 @@
 func startStubServer(handler http.Handler) (*stubServer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, errors.Wrap(err, "listen for a stand-in")
+		return nil, errors.Wrap(err, "listen for a stub server")
 	}
 	one := &stubServer{address: listener.Addr().String(), server: &http.Server{Handler: handler}}
-	go func() { _ = one.server.Serve(listener) }() // it ends with stop
+	go func() { _ = one.server.Serve(listener) }() // Serve returns after stop
 	return one, nil
 }
 
@@ -58,7 +58,7 @@
 	return p, err
 }
 
-// add puts a server on the list.
+// add appends a server to the list.
 func (p *stubPlatform) add(entry operator.ServerEntry) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -69,16 +69,16 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(operator.ServerPage{Servers: p.servers}) // the caller may have gone
+	_ = json.NewEncoder(w).Encode(operator.ServerPage{Servers: p.servers}) // fails if the client has disconnected
 }
 
-// modelServer stands in for a model server: it answers every request with a few events.
+// modelServer is a stub of a model server: it answers every request with a fixed number of events.
 type modelServer struct {
 	*stubServer
 	id string
 }
 
-// startServers starts a model server in each of two zones and puts them on the platform's list.
+// startServers starts a stub model server in each of two zones and adds them to the platform's list.
 func startServers(platform *stubPlatform) ([]*modelServer, error) {
 	var servers []*modelServer
 	for index, zone := range localcluster.ZoneNames[:2] {
@@ -110,7 +110,7 @@
 	w.Header().Set("X-Fieldrelay-Server-Id", s.id)
 }
 
-// answer streams events, unless the request was meant for another server.
+// answer streams events. A request that expects another server is rejected with status 421 and marked as not executed.
 func (s *modelServer) answer(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Fieldrelay-Attempt-Id", r.Header.Get("X-Fieldrelay-Attempt-Id"))
 	if wanted := r.Header.Get("X-Fieldrelay-Expect-Server"); wanted != "" && wanted != s.id {
@@ -122,7 +122,7 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	for id := 1; id <= events; id++ {
 		if _, err := fmt.Fprintf(w, "id: %d\ndata: token %d from %s\n\n", id, id, s.id); err != nil {
-			return // the caller has gone
+			return // the client has disconnected
 		}
 		w.(http.Flusher).Flush()
 	}
