--- a/cmd/fieldlab/peers.go
+++ b/cmd/fieldlab/peers.go
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// burnCPU starts threads that use CPU until the returned function is called. A negative number starts one for each core.
+// burnCPU starts goroutines that use CPU until the returned function is called; a negative number starts one for each core.
 func burnCPU(threads int) func() {
 	if threads < 0 {
 		threads = runtime.NumCPU()
--- a/cmd/fieldrelayctl/fleet.go
+++ b/cmd/fieldrelayctl/fleet.go
@@ -38,7 +38,7 @@
 }
 
 // queryCmd sends the management command that has the name of the selected subcommand and prints the answer as a table:
-// the words at the start of each line, then a column for each key of its key=value fields.
+// the words of each line that are not key=value fields, as its name, then a column for each key.
 type queryCmd struct{ sidecarAddr }
 
 // Run sends the management command and prints the answer as a table.
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -36,7 +36,8 @@
 	pages     map[uint64][]logic.Server  // server lists by slot
 }
 
-// run reads batches and writes a reply to each until the input ends. Any error names the input line.
+// run reads batches and writes a reply to each until the input ends. An error in the input names
+// its line.
 func (h *host) run(in io.Reader, out io.Writer) error {
 	h.in = bufio.NewReaderSize(in, 1<<20)
 	for {
--- a/example/region/calls.go
+++ b/example/region/calls.go
@@ -35,9 +35,7 @@
 	Body   string
 }
 
-func (e *StatusError) Error() string {
-	return fmt.Sprintf("%s answered %d: %s", e.Call, e.Status, e.Body)
-}
+func (e *StatusError) Error() string { return fmt.Sprintf("%s: %d %s", e.Call, e.Status, e.Body) }
 
 // configuration returns a configuration that routes all paths under /v1/ to the stub model servers.
 func configuration() operator.Configuration {
--- a/example/region/layout.go
+++ b/example/region/layout.go
@@ -8,7 +8,7 @@
 const (
 	controlMachines = 3
 
-	// graceSeconds is the drain period of a stopping process in seconds. It is short because the example has no other
+	// graceSeconds is the time, in seconds, that a process has to exit after SIGTERM. It is short because the example has no other
 	// clients.
 	graceSeconds = 1
 
