--- a/cmd/fieldlab/chaos.go
+++ b/cmd/fieldlab/chaos.go
@@ -146,7 +146,7 @@
 	return errors.Join(fleet.History.Write(file), file.Close())
 }
 
-// printVerdict prints the results of the rules and the counts of requests, faults and link events.
+// printVerdict prints the broken rules and the counts of requests, faults and link events.
 func printVerdict(v checker.Verdict, hits faultline.Hits) {
 	for _, rule := range v.Rules {
 		fmt.Println(rule)
