--- a/cmd/fieldlab/peers.go
+++ b/cmd/fieldlab/peers.go
@@ -24,7 +24,7 @@
 	Binary   string        `help:"The sidecar's program; as a rule the one beside this." placeholder:"FILE"`
 }
 
-// Run measures what knowing each other costs, and how soon a crash is known.
+// Run measures, for each fleet size, the cost of the membership protocol and the time until a crash is detected.
 func (c *peersCmd) Run() error {
 	binary := c.Binary
 	if binary == "" {
@@ -35,14 +35,15 @@
 		binary = filepath.Join(filepath.Dir(self), "fieldrelay")
 	}
 	for _, n := range c.Sidecars {
-		if err := c.one(binary, n); err != nil {
+		if err := c.measureFleet(binary, n); err != nil {
 			return fmt.Errorf("%d sidecars: %w", n, err)
 		}
 	}
 	return nil
 }
 
-func (c *peersCmd) one(binary string, n int) (err error) {
+// measureFleet measures one fleet of n real sidecars.
+func (c *peersCmd) measureFleet(binary string, n int) (err error) {
 	dir, err := os.MkdirTemp("", "fieldlab-peers-")
 	if err != nil {
 		return err
@@ -58,7 +59,7 @@
 	}
 	took, ok := processfleet.Until(time.Minute, func() bool { return r.Agrees() && r.Agreed() })
 	if !ok {
-		return errors.New("they do not come together")
+		return errors.New("the sidecars did not agree on one view within a minute")
 	}
 	fmt.Printf("%d sidecars: one view of all after %v\n", n, took.Round(time.Millisecond))
 	d, err := r.Crashes(c.Crashes)
@@ -68,7 +69,7 @@
 	fmt.Printf("  a survivor knows of a crash:   %v\n  all survivors know:            %v\n  all hold a view without it:    %v\n  all hold a view with it again: %v\n",
 		d.Known, d.All, d.View, d.Back)
 	r.Weather(faultline.Fault{Loss: c.Loss, Jitter: c.Jitter})
-	defer burn(c.Burn)()
+	defer burnCPU(c.Burn)()
 	u, err := r.Usage(c.For)
 	if err != nil {
 		return err
@@ -79,8 +80,8 @@
 	return nil
 }
 
-// burn takes CPU until the returned function is called.
-func burn(threads int) func() {
+// burnCPU starts goroutines that use CPU until the returned function is called; a negative number starts one for each core.
+func burnCPU(threads int) func() {
 	if threads < 0 {
 		threads = runtime.NumCPU()
 	}
@@ -110,10 +111,10 @@
 	Quiet   bool          `help:"No storm: start all, let a minute pass and count traffic."`
 }
 
-// Run plays storms, or a calm, in simulated time.
+// Run runs fault schedules (storms) in simulated time, one for each seed, or measures the traffic of a fleet without faults.
 func (c *stormCmd) Run() error {
 	if c.Quiet {
-		return c.calm()
+		return c.measureQuiet()
 	}
 	broken := 0
 	for seed := range c.Seeds {
@@ -124,23 +125,25 @@
 			fmt.Printf("seed %d: %s\n", seed+1, b)
 		}
 		if broken += len(s.Broken); s.ConvergedAfter < 0 {
-			fmt.Printf("seed %d: no agreement within the bound after all was healed\n", seed+1)
+			fmt.Printf("seed %d: the members did not agree within the bound after all faults had ended\n", seed+1)
 			broken++
 		}
 	}
 	fmt.Printf("storms %d, rules broken %d\n", c.Seeds, broken)
 	if broken > 0 {
-		return errBroken
+		return errRunFailed
 	}
 	return nil
 }
 
-func (c *stormCmd) calm() error {
+// measureQuiet measures the traffic of a fleet without faults in simulated time, then the time until the survivors of one
+// crash agree on the next view.
+func (c *stormCmd) measureQuiet() error {
 	w := fleetsim.New(fleetsim.Options{Members: c.Members, Voters: c.Voters, Delay: time.Millisecond, Seed: 1})
 	w.StartAll(10 * time.Second)
 	w.Run(10*time.Second, nil)
 	if !w.Run(w.Now()+10*time.Minute, w.Agreed) {
-		return errors.New("they do not agree within 10 minutes")
+		return errors.New("the members did not agree on a view within 10 simulated minutes")
 	}
 	fmt.Printf("%d members: one view of all after %v\n", c.Members, w.Now())
 	w.Run(w.Now()+time.Minute, nil)
@@ -163,18 +166,18 @@
 	}
 	fmt.Printf("quiet: a member sends %.1f messages and %.0f bytes a second (most %.0f), a voter %.1f and %.0f (most %.0f)\n",
 		other.messages, other.bytes, other.most, voter.messages, voter.bytes, voter.most)
-	held := 0
+	holding := 0
 	for _, n := range w.Nodes() {
 		if n.Core.Mode().String() == "together" {
-			held++
+			holding++
 		}
 	}
-	fmt.Printf("%d of %d hold the view\n", held, c.Members)
+	fmt.Printf("%d of %d hold the view\n", holding, c.Members)
 	victim := w.Node(c.Members - 1)
 	victim.Kill()
 	from := w.Now()
 	if !w.Run(from+time.Minute, w.Agreed) {
-		return errors.New("a crash is not agreed upon within a minute")
+		return errors.New("the survivors did not agree on a view without the crashed member within a simulated minute")
 	}
 	fmt.Printf("after a crash all hold the next view within %v\n", (w.Now() - from).Round(time.Millisecond))
 	return nil
--- a/cmd/fieldrelay-region/status_test.go
+++ b/cmd/fieldrelay-region/status_test.go
@@ -20,7 +20,7 @@
 	require.Equal(t, "status <address>", parsed.Command())
 	require.Equal(t, statusCommand{Address: "10.0.0.1:7660", JSON: true, Only: true}, commands.Status)
 	_, err = parser.Parse([]string{"status"})
-	require.Error(t, err, "an address is needed")
+	require.Error(t, err, "the command line names no address")
 }
 
 func TestStatusOfAnUnreachableAddress(t *testing.T) {
@@ -29,8 +29,8 @@
 	address := listener.Addr().String()
 	require.NoError(t, listener.Close())
 	for _, command := range []statusCommand{{Address: address}, {Address: address, Only: true}} {
-		var silent *status.UnreachableError
-		require.True(t, errors.As(command.Run(), &silent))
-		require.Equal(t, address, silent.Address)
+		var unreachable *status.UnreachableError
+		require.True(t, errors.As(command.Run(), &unreachable))
+		require.Equal(t, address, unreachable.Address)
 	}
 }
--- a/cmd/fieldrelayctl/fleet.go
+++ b/cmd/fieldrelayctl/fleet.go
@@ -15,15 +15,15 @@
 	"fieldrelay/internal/sidecar/config"
 )
 
-// How long the management address may take.
-const askTimeout = 3 * time.Second
+// queryTimeout bounds the connection set-up to the management address, and again the exchange of command and answer.
+const queryTimeout = 3 * time.Second
 
 type sidecarAddr struct {
 	Mgmt string `help:"The management address of the sidecar; as a rule that of its configuration." placeholder:"HOST:PORT"`
 }
 
-// ask asks the sidecar that is meant.
-func (c sidecarAddr) ask(w *environment, command string) ([]string, error) {
+// query sends a command to the sidecar at --mgmt or, without that flag, at the management address of its configuration.
+func (c sidecarAddr) query(w *environment, command string) ([]string, error) {
 	address := c.Mgmt
 	if address == "" {
 		cfg, err := config.Load(w.getenv, w.operator)
@@ -31,18 +31,19 @@
 			return nil, err
 		}
 		if address = cfg.Mgmt; address == "" {
-			return nil, errors.New("no management address: set mgmt in the configuration, or --mgmt")
+			return nil, errors.New("no management address: set mgmt in the configuration or pass --mgmt")
 		}
 	}
-	return ask(address, command)
+	return query(address, command)
 }
 
-// askCmd prints the answer to the command of its name: the names that a line begins with, then a column for each key.
-type askCmd struct{ sidecarAddr }
+// queryCmd sends the management command that has the name of the selected subcommand and prints the answer as a table:
+// the words of each line that are not key=value fields, as its name, then a column for each key.
+type queryCmd struct{ sidecarAddr }
 
-// Run asks and prints a table.
-func (c askCmd) Run(w *environment, ctx *kong.Context) error {
-	lines, err := c.ask(w, strings.ToUpper(ctx.Selected().Name))
+// Run sends the management command and prints the answer as a table.
+func (c queryCmd) Run(w *environment, ctx *kong.Context) error {
+	lines, err := c.query(w, strings.ToUpper(ctx.Selected().Name))
 	if err != nil {
 		return err
 	}
@@ -76,9 +77,9 @@
 
 type fleetCmd struct{ sidecarAddr }
 
-// Run asks PEERS and prints a table.
+// Run sends the management command PEERS and prints the members as a table.
 func (c fleetCmd) Run(w *environment) error {
-	lines, err := c.ask(w, "PEERS")
+	lines, err := c.query(w, "PEERS")
 	if err != nil {
 		return err
 	}
@@ -105,14 +106,14 @@
 	return table.Flush()
 }
 
-// ask sends one command to a management address and gives the lines between ok and eof.
-func ask(address, command string) ([]string, error) {
-	nc, err := net.DialTimeout("tcp", address, askTimeout)
+// query sends one command to a management address and returns the lines of the answer between "ok" and "eof".
+func query(address, command string) ([]string, error) {
+	nc, err := net.DialTimeout("tcp", address, queryTimeout)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = nc.Close() }()
-	if err := nc.SetDeadline(time.Now().Add(askTimeout)); err != nil {
+	if err := nc.SetDeadline(time.Now().Add(queryTimeout)); err != nil {
 		return nil, err
 	}
 	if _, err := fmt.Fprintln(nc, command); err != nil {
@@ -130,5 +131,5 @@
 			lines = append(lines, line)
 		}
 	}
-	return nil, errors.Join(errors.New("the answer ended early"), in.Err())
+	return nil, errors.Join(errors.New("the answer of the management address ended before its line eof"), in.Err())
 }
