--- a/internal/region/controlsim/callers_test.go
+++ b/internal/region/controlsim/callers_test.go
@@ -126,7 +126,7 @@
 	w.callers.checkRecovery()
 	w.run(callSettleDuration)
 	w.callers.applications.Stop()
-	w.run(callers.FinalPause)
+	w.run(callers.FinalCallDelay)
 	w.callers.applications.StartFinalCalls()
 	w.run(finalCallsDuration)
 	verdict := history.Check(w.callers.applications.History(), history.Options{Retention: callRetention})
--- a/internal/region/coordination/simulation_test.go
+++ b/internal/region/coordination/simulation_test.go
@@ -51,9 +51,9 @@
 	s.heal()
 	s.runUntil(faultPeriod + settlePeriod)
 	applications.Stop()
-	s.runUntil(faultPeriod + settlePeriod + callers.FinalPause)
+	s.runUntil(faultPeriod + settlePeriod + callers.FinalCallDelay)
 	applications.StartFinalCalls()
-	s.runUntil(faultPeriod + settlePeriod + callers.FinalPause + finalPeriod)
+	s.runUntil(faultPeriod + settlePeriod + callers.FinalCallDelay + finalPeriod)
 	return applications.History()
 }
 
--- a/internal/sidecar/peer/contract_test.go
+++ b/internal/sidecar/peer/contract_test.go
@@ -10,7 +10,7 @@
 	"fieldrelay/internal/testkit/faultline"
 )
 
-var channelMaker = contract.ChannelMaker{MostDatagram: MaxDatagram, MostFrame: MaxFrame, Sockets: true, Silence: readTimeout,
+var channelMaker = contract.ChannelMaker{MostDatagram: MaxDatagram, MostFrame: MaxFrame, Sockets: true, ReadTimeout: readTimeout,
 	Listen: func(_ contract.T, deliver func([]byte)) (contract.Channel, error) {
 		return Listen("127.0.0.1:0", deliver)
 	}}
@@ -148,7 +148,7 @@
 		}
 	}
 	longTimeout := channelMaker // expects a much later end of a stalled stream than the channel enforces
-	longTimeout.Silence = 60 * readTimeout
+	longTimeout.ReadTimeout = 60 * readTimeout
 	if err := contract.ChannelClauses[6].Check(t, longTimeout); err == nil || errors.Is(err, ErrTooLong) {
 		t.Errorf("no violation detected although streams time out much earlier than expected: %v", err)
 	}
--- a/internal/sidecar/store/bolt/bolt_test.go
+++ b/internal/sidecar/store/bolt/bolt_test.go
@@ -22,12 +22,12 @@
 
 // A process that crashes in the middle of a batch is simulated by a copy of the file that is taken meanwhile.
 func TestBolt(t *testing.T) {
-	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: maxBytes, Begin: func(t contract.T, seed uint64) contract.StorePlace {
+	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: maxBytes, Begin: func(t contract.T, seed uint64) contract.StoreFixture {
 		path := filepath.Join(t.TempDir(), "kept.db")
-		p := contract.DiskPlace(path, seed, func(owner string) (store.Store, store.OpenResult, error) {
+		p := contract.NewDiskFixture(path, seed, func(owner string) (store.Store, store.OpenResult, error) {
 			return bolt.Open(options(path, owner), nil)
 		})
-		p.Later = func() {
+		p.SetNewerFormat = func() {
 			db, err := bbolt.Open(path, 0o600, nil)
 			if err == nil {
 				err = errors.Join(db.Update(func(tx *bbolt.Tx) error {
--- a/internal/sidecar/store/store_test.go
+++ b/internal/sidecar/store/store_test.go
@@ -16,8 +16,8 @@
 }
 
 func TestMemory(t *testing.T) {
-	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: maxBytes, Begin: func(contract.T, uint64) contract.StorePlace {
-		return contract.StorePlace{Open: func(string) (store.Store, store.OpenResult, error) {
+	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: maxBytes, Begin: func(contract.T, uint64) contract.StoreFixture {
+		return contract.StoreFixture{Open: func(string) (store.Store, store.OpenResult, error) {
 			return store.NewMemory(maxBytes), store.OpenResult{Empty: true}, nil
 		}}
 	}})
@@ -25,8 +25,8 @@
 
 // The plain file, on a file system that tears writes that were not synced.
 func TestFile(t *testing.T) {
-	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: maxBytes, Begin: func(t contract.T, seed uint64) contract.StorePlace {
-		return contract.FilePlace(seed, func(l store.FileSystem, path, owner string) (store.Store, store.OpenResult, error) {
+	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: maxBytes, Begin: func(t contract.T, seed uint64) contract.StoreFixture {
+		return contract.NewMemoryFixture(seed, func(l store.FileSystem, path, owner string) (store.Store, store.OpenResult, error) {
 			return store.OpenFile(l, options(path, owner))
 		}, laterFile)
 	}})
@@ -37,20 +37,20 @@
 
 // The plain file, on the file system of the operating system.
 func TestFileOnDisk(t *testing.T) {
-	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: maxBytes, Begin: func(t contract.T, seed uint64) contract.StorePlace {
+	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: maxBytes, Begin: func(t contract.T, seed uint64) contract.StoreFixture {
 		path := filepath.Join(t.TempDir(), "kept")
-		p := contract.DiskPlace(path, seed, func(owner string) (store.Store, store.OpenResult, error) {
+		p := contract.NewDiskFixture(path, seed, func(owner string) (store.Store, store.OpenResult, error) {
 			return store.OpenFile(store.OSFileSystem{}, options(path, owner))
 		})
-		p.KnowsOldCopies, p.Kill = true, nil // crashes are tested in TestFile, on a FileSystem: a copy of the path alone lacks the second file
-		p.Later = func() { p.Spoil(laterFile) }
+		p.DetectsRollback, p.Kill = true, nil // crashes are tested in TestFile, on a FileSystem: a copy of the path alone lacks the second file
+		p.SetNewerFormat = func() { p.Corrupt(laterFile) }
 		return p
 	}})
 }
 
 // A batch that fails because the disk is full leaves the earlier values, and the store accepts no batch until it is opened again.
 func TestFullDisk(t *testing.T) {
-	l := contract.NewLayer(1)
+	l := contract.NewMemoryFileSystem(1)
 	open := func() *store.File {
 		f, _, err := store.OpenFile(l, options("d/kept", "me"))
 		if err != nil {
--- a/internal/testkit/callers/callers.go
+++ b/internal/testkit/callers/callers.go
@@ -15,8 +15,8 @@
 const (
 	// Timeout is for how long a caller waits for an answer.
 	Timeout = time.Second
-	// FinalPause is between the last calls and those by which callers find out what was kept.
-	FinalPause = Timeout
+	// FinalCallDelay is between the last calls and those by which callers find out what was kept.
+	FinalCallDelay = Timeout
 	// putAgainFor is for how long a put without a clear answer is sent again.
 	putAgainFor = 3 * time.Second
 	// turns bounds the machine that a caller asks first.
@@ -33,8 +33,8 @@
 	groupNames   = []string{"g.", "h."}
 )
 
-// World is what the callers live in.
-type World interface {
+// Environment is what the callers live in.
+type Environment interface {
 	// Now is the present time.
 	Now() time.Duration
 	// After has something happen later.
@@ -46,7 +46,7 @@
 
 // Callers are the applications of a run.
 type Callers struct {
-	world    World
+	world    Environment
 	random   *rand.Rand
 	stopped  bool
 	watchers []*watcher
@@ -54,7 +54,7 @@
 }
 
 // Start has callers of all kinds begin.
-func Start(world World, random *rand.Rand) *Callers {
+func Start(world Environment, random *rand.Rand) *Callers {
 	all := &Callers{world: world, random: random}
 	for number := range 4 {
 		(&locker{caller: all.newCaller(fmt.Sprintf("locker%d", number))}).rest()
--- a/internal/testkit/contract/broken_test.go
+++ b/internal/testkit/contract/broken_test.go
@@ -12,8 +12,8 @@
 // broken wraps what a place opens.
 func broken(layer func(store.FileSystem) store.FileSystem, wrap func(store.Store) store.Store, redo func(l store.FileSystem, path string, err error) bool, owner string) StoreMaker {
 	const most = 4 << 10
-	return StoreMaker{Most: most, Begin: func(t T, seed uint64) StorePlace {
-		return FilePlace(seed, func(l store.FileSystem, path, who string) (store.Store, store.OpenResult, error) {
+	return StoreMaker{Most: most, Begin: func(t T, seed uint64) StoreFixture {
+		return NewMemoryFixture(seed, func(l store.FileSystem, path, who string) (store.Store, store.OpenResult, error) {
 			under := l
 			if layer != nil {
 				l = layer(l)
@@ -79,7 +79,7 @@
 func stubborn() StoreMaker {
 	m := broken(nil, nil, nil, "")
 	begin := m.Begin
-	m.Begin = func(t T, seed uint64) StorePlace {
+	m.Begin = func(t T, seed uint64) StoreFixture {
 		p := begin(t, seed)
 		open := p.Open
 		p.Open = func(owner string) (store.Store, store.OpenResult, error) {
--- a/internal/testkit/contract/channel.go
+++ b/internal/testkit/contract/channel.go
@@ -34,8 +34,8 @@
 	MostDatagram, MostFrame int
 	// Sockets tells that others can dial the address of a channel, which then reads what they write.
 	Sockets bool
-	// Silence is after what time a frame that has begun and does not go on is a break.
-	Silence time.Duration
+	// ReadTimeout is after what time a frame that has begun and does not go on is a break.
+	ReadTimeout time.Duration
 }
 
 // ChannelClauses are what every channel between sidecars promises.
@@ -296,15 +296,15 @@
 	}
 	defer func() { _ = nc.Close() }()
 	_, writeErr := nc.Write([]byte{0, 0, 1, 0, 7})
-	if err := errors.Join(writeErr, nc.SetReadDeadline(time.Now().Add(m.Silence+patience))); err != nil {
+	if err := errors.Join(writeErr, nc.SetReadDeadline(time.Now().Add(m.ReadTimeout+patience))); err != nil {
 		return err
 	}
 	from := time.Now()
 	if _, err := nc.Read(make([]byte, 1)); errors.Is(err, nil) || isTimeout(err) {
 		return errors.Join(fmt.Errorf("a frame that does not go on is no break after %v", time.Since(from)), err)
 	}
-	if took := time.Since(from); took < m.Silence/2 || took > m.Silence+patience/2 {
-		return fmt.Errorf("a break after %v, promised after %v", took, m.Silence)
+	if took := time.Since(from); took < m.ReadTimeout/2 || took > m.ReadTimeout+patience/2 {
+		return fmt.Errorf("a break after %v, promised after %v", took, m.ReadTimeout)
 	}
 	return nil
 }
--- a/internal/testkit/contract/layer.go
+++ b/internal/testkit/contract/layer.go
@@ -18,9 +18,9 @@
 // errSpace is a disk that is full.
 var errSpace = errors.New("contract: no space left on device")
 
-// Layer is files in memory, of which only what was synced is sure to be there after Crash: the rest is torn, cut, flipped or
+// MemoryFileSystem is files in memory, of which only what was synced is sure to be there after Crash: the rest is torn, cut, flipped or
 // put in another order, as the seed draws. It can end the process at any operation and fill up.
-type Layer struct {
+type MemoryFileSystem struct {
 	rng         *rand.Rand
 	files       map[string]file // as the process sees them
 	durable     map[string]file // names as they were when their folder was last synced
@@ -39,12 +39,12 @@
 
 type move struct{ from, to string }
 
-// NewLayer makes an empty disk.
-func NewLayer(seed uint64) *Layer {
-	return &Layer{rng: rand.New(rand.NewPCG(seed, 0xd15c)), files: map[string]file{}, durable: map[string]file{}, locks: map[string]int{}}
+// NewMemoryFileSystem makes an empty disk.
+func NewMemoryFileSystem(seed uint64) *MemoryFileSystem {
+	return &MemoryFileSystem{rng: rand.New(rand.NewPCG(seed, 0xd15c)), files: map[string]file{}, durable: map[string]file{}, locks: map[string]int{}}
 }
 
-func (l *Layer) op() error {
+func (l *MemoryFileSystem) op() error {
 	l.Ops++
 	if l.KillAt > 0 && l.Ops >= l.KillAt {
 		return errKilled
@@ -53,10 +53,10 @@
 }
 
 // MakeDir does nothing: folders are names.
-func (l *Layer) MakeDir(string) error { return l.op() }
+func (l *MemoryFileSystem) MakeDir(string) error { return l.op() }
 
 // ReadFile reads.
-func (l *Layer) ReadFile(path string, most int) ([]byte, error) {
+func (l *MemoryFileSystem) ReadFile(path string, most int) ([]byte, error) {
 	if err := l.op(); err != nil {
 		return nil, err
 	}
@@ -68,7 +68,7 @@
 }
 
 // WriteFile writes; nothing of it is sure before Sync.
-func (l *Layer) WriteFile(path string, text []byte) error {
+func (l *MemoryFileSystem) WriteFile(path string, text []byte) error {
 	err := l.op()
 	f := l.files[path]
 	f.text = slices.Clone(text)
@@ -83,7 +83,7 @@
 	return err
 }
 
-func (l *Layer) size() (n int) {
+func (l *MemoryFileSystem) size() (n int) {
 	for _, f := range l.files {
 		n += len(f.text)
 	}
@@ -91,7 +91,7 @@
 }
 
 // Sync makes the text of a file sure.
-func (l *Layer) Sync(path string) error {
+func (l *MemoryFileSystem) Sync(path string) error {
 	if err := l.op(); err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 }
 
 // Rename renames; that is not sure before SyncDir.
-func (l *Layer) Rename(from, to string) error {
+func (l *MemoryFileSystem) Rename(from, to string) error {
 	if err := l.op(); err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 }
 
 // SyncDir makes the names of a folder sure.
-func (l *Layer) SyncDir(dir string) error {
+func (l *MemoryFileSystem) SyncDir(dir string) error {
 	if err := l.op(); err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 }
 
 // Lock takes a lock of this life.
-func (l *Layer) Lock(path string) (func() error, error) {
+func (l *MemoryFileSystem) Lock(path string) (func() error, error) {
 	if err := l.op(); err != nil {
 		return nil, err
 	}
@@ -149,7 +149,7 @@
 
 // Crash ends the process and the machine: what was not synced is lost, kept or torn, each by chance, and renames that were
 // not synced may have been done or not. The next process finds the disk as it then is.
-func (l *Layer) Crash() {
+func (l *MemoryFileSystem) Crash() {
 	after := maps.Clone(l.durable)
 	for name, f := range l.files { // a file that was synced may be there under its new name without SyncDir
 		if _, ok := after[name]; !ok && l.rng.IntN(2) == 0 {
@@ -177,16 +177,16 @@
 }
 
 // Kill ends the process alone: the machine still has what was written.
-func (l *Layer) Kill() { l.end() }
+func (l *MemoryFileSystem) Kill() { l.end() }
 
-func (l *Layer) end() {
+func (l *MemoryFileSystem) end() {
 	l.incarnation++
 	l.locks = map[string]int{}
 	l.Ops, l.KillAt = 0, 0
 }
 
 // tear is what a crash may leave of a text that was not synced.
-func (l *Layer) tear(f file) []byte {
+func (l *MemoryFileSystem) tear(f file) []byte {
 	switch l.rng.IntN(5) {
 	case 0:
 		return slices.Clone(f.synced)
@@ -212,8 +212,8 @@
 	return text
 }
 
-// Spoil changes the file of a name in place, as a fault of the disk or a stranger would. It tells whether the file is there.
-func (l *Layer) Spoil(path string, change func([]byte) []byte) bool {
+// Corrupt changes the file of a name in place, as a fault of the disk or a stranger would. It tells whether the file is there.
+func (l *MemoryFileSystem) Corrupt(path string, change func([]byte) []byte) bool {
 	f, ok := l.files[path]
 	if ok {
 		text := change(slices.Clone(f.text))
@@ -224,10 +224,10 @@
 }
 
 // Text is a file as it is now.
-func (l *Layer) Text(path string) []byte { return slices.Clone(l.files[path].text) }
+func (l *MemoryFileSystem) Text(path string) []byte { return slices.Clone(l.files[path].text) }
 
 // Names are the files whose names begin with prefix.
-func (l *Layer) Names(prefix string) (names []string) {
+func (l *MemoryFileSystem) Names(prefix string) (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(l.files)) {
 		if strings.HasPrefix(filepath.Clean(name), prefix) {
 			names = append(names, name)
--- a/internal/testkit/contract/place.go
+++ b/internal/testkit/contract/place.go
@@ -10,17 +10,17 @@
 	"fieldrelay/internal/sidecar/store"
 )
 
-// FilePlace is a place on a Layer, for a store in plain files. later makes a text say that it is of a later format.
-func FilePlace(seed uint64, open func(l store.FileSystem, path, owner string) (store.Store, store.OpenResult, error), later func([]byte) []byte) StorePlace {
+// NewMemoryFixture is a place on a Layer, for a store in plain files. later makes a text say that it is of a later format.
+func NewMemoryFixture(seed uint64, open func(l store.FileSystem, path, owner string) (store.Store, store.OpenResult, error), later func([]byte) []byte) StoreFixture {
 	const path = "dir/kept"
-	l := NewLayer(seed)
+	l := NewMemoryFileSystem(seed)
 	rng := rand.New(rand.NewPCG(seed, 3))
-	p := StorePlace{
-		Open:           func(owner string) (store.Store, store.OpenResult, error) { return open(l, path, owner) },
-		Spoil:          func(change func([]byte) []byte) bool { return l.Spoil(path, change) },
-		Bytes:          func() []byte { return l.Text(path) },
-		Later:          func() { l.Spoil(path, later) },
-		KnowsOldCopies: true,
+	p := StoreFixture{
+		Open:            func(owner string) (store.Store, store.OpenResult, error) { return open(l, path, owner) },
+		Corrupt:         func(change func([]byte) []byte) bool { return l.Corrupt(path, change) },
+		Bytes:           func() []byte { return l.Text(path) },
+		SetNewerFormat:  func() { l.Corrupt(path, later) },
+		DetectsRollback: true,
 	}
 	p.Kill = func(work func(store.Store) error) error {
 		l.KillAt = 1 + rng.IntN(60)
@@ -41,9 +41,9 @@
 	return p
 }
 
-// DiskPlace is a place at a path of the system's. Its processes die in the middle of a batch: what the next one finds is a
+// NewDiskFixture is a place at a path of the system's. Its processes die in the middle of a batch: what the next one finds is a
 // copy that was taken while that was written.
-func DiskPlace(path string, seed uint64, open func(owner string) (store.Store, store.OpenResult, error)) StorePlace {
+func NewDiskFixture(path string, seed uint64, open func(owner string) (store.Store, store.OpenResult, error)) StoreFixture {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	read := func() []byte {
 		b, err := os.ReadFile(path)
@@ -53,9 +53,9 @@
 		return b
 	}
 	write := func(b []byte) bool { return os.WriteFile(path, b, 0o600) == nil }
-	return StorePlace{
+	return StoreFixture{
 		Open: open,
-		Spoil: func(change func([]byte) []byte) bool {
+		Corrupt: func(change func([]byte) []byte) bool {
 			b := read()
 			return b != nil && write(change(b))
 		},
--- a/internal/testkit/contract/source.go
+++ b/internal/testkit/contract/source.go
@@ -29,9 +29,9 @@
 	// List is the text with which discovery begins a watch, and Change the one by which it tells that name has come or gone.
 	List   func(names ...string) string
 	Change func(generation int, name string, there bool) string
-	// Silence is after what time without a sign a watch is lost; Sign is the sign that nothing has changed.
-	Silence time.Duration
-	Sign    string
+	// IdleTimeout is after what time without a sign a watch is lost; Sign is the sign that nothing has changed.
+	IdleTimeout time.Duration
+	Heartbeat   string
 }
 
 // SourceClauses are what every source of the list promises.
@@ -199,8 +199,8 @@
 	defer d.close()
 	defer s.Close()
 	for range 3 {
-		<-time.After(m.Silence * 6 / 10)
-		if err := write(nc, m.Sign); err != nil {
+		<-time.After(m.IdleTimeout * 6 / 10)
+		if err := write(nc, m.Heartbeat); err != nil {
 			return err
 		}
 		if !h.is("ab", 0) {
@@ -211,8 +211,8 @@
 	if err := h.wait("ab", 1); err != nil {
 		return err
 	}
-	if took := time.Since(from); took < m.Silence/2 {
-		return fmt.Errorf("lost after %v, promised after %v", took, m.Silence)
+	if took := time.Since(from); took < m.IdleTimeout/2 {
+		return fmt.Errorf("lost after %v, promised after %v", took, m.IdleTimeout)
 	}
 	return nil
 }
--- a/internal/testkit/contract/store.go
+++ b/internal/testkit/contract/store.go
@@ -13,26 +13,26 @@
 // StoreMaker opens stores.
 type StoreMaker struct {
 	// Begin makes a new place for one store, which the functions below are then given.
-	Begin func(t T, seed uint64) StorePlace
+	Begin func(t T, seed uint64) StoreFixture
 	// Most is how many bytes of keys and values a store takes.
 	Most int
 }
 
-// StorePlace is where one store is, and what can be done to it.
-type StorePlace struct {
+// StoreFixture is where one store is, and what can be done to it.
+type StoreFixture struct {
 	Open func(owner string) (store.Store, store.OpenResult, error)
 	// Kill ends the process that has it open at a point drawn by the place, and comes back once it is dead; work is what the
 	// process does meanwhile, to its end or to the first error. Afterwards the store can be opened again. nil: what is in it
 	// ends with the process, and the clauses on that do not apply.
 	Kill func(work func(s store.Store) error) error
-	// Spoil changes the bytes that are kept; false: nothing is kept. nil: they cannot be reached.
-	Spoil func(change func([]byte) []byte) bool
+	// Corrupt changes the bytes that are kept; false: nothing is kept. nil: they cannot be reached.
+	Corrupt func(change func([]byte) []byte) bool
 	// Bytes are those that are kept.
 	Bytes func() []byte
-	// Later has the kept bytes say that they are of a later format. nil: they cannot.
-	Later func()
-	// KnowsOldCopies tells that an older copy that is put back must be recognised.
-	KnowsOldCopies bool
+	// SetNewerFormat has the kept bytes say that they are of a later format. nil: they cannot.
+	SetNewerFormat func()
+	// DetectsRollback tells that an older copy that is put back must be recognised.
+	DetectsRollback bool
 }
 
 const (
@@ -53,7 +53,7 @@
 	{"one process has it at a time", storeBusy},
 }
 
-func open(p StorePlace) (store.Store, error) {
+func open(p StoreFixture) (store.Store, error) {
 	s, found, err := p.Open(storeOwner)
 	if err == nil && found.Warning != "" {
 		err = errors.New("told: " + found.Warning)
@@ -62,7 +62,7 @@
 }
 
 // filled opens a store, puts pairs into it and closes it.
-func filled(p StorePlace, pairs ...string) error {
+func filled(p StoreFixture, pairs ...string) error {
 	s, err := open(p)
 	if err != nil {
 		return err
@@ -228,7 +228,7 @@
 func storeTorn(t T, m StoreMaker) error {
 	for name, change := range spoils {
 		p := m.Begin(t, 3)
-		if p.Spoil == nil {
+		if p.Corrupt == nil {
 			return nil
 		}
 		s, err := open(p)
@@ -238,7 +238,7 @@
 		if err := errors.Join(put(s, "a", "quite-a-value", "b", "quite-a-value"), put(s, "c", "quite-a-value"), s.Close()); err != nil {
 			return err
 		}
-		if !p.Spoil(change) {
+		if !p.Corrupt(change) {
 			return errors.New("nothing is kept")
 		}
 		s, found, err := p.Open(storeOwner)
@@ -265,7 +265,7 @@
 }
 
 // refused opens a store that must not be had, and looks that nothing of it changed.
-func refused(p StorePlace, owner string, want error) error {
+func refused(p StoreFixture, owner string, want error) error {
 	before := p.Bytes()
 	if s, _, err := p.Open(owner); !errors.Is(err, want) {
 		if err == nil {
@@ -281,13 +281,13 @@
 
 func storeLater(t T, m StoreMaker) error {
 	p := m.Begin(t, 4)
-	if p.Later == nil {
+	if p.SetNewerFormat == nil {
 		return nil
 	}
 	if err := filled(p, "a", "1"); err != nil {
 		return err
 	}
-	p.Later()
+	p.SetNewerFormat()
 	return refused(p, storeOwner, store.ErrNewerFormat)
 }
 
@@ -315,7 +315,7 @@
 
 func storeOldCopy(t T, m StoreMaker) error {
 	p := m.Begin(t, 6)
-	if !p.KnowsOldCopies {
+	if !p.DetectsRollback {
 		return nil
 	}
 	if err := filled(p, "a", "1"); err != nil {
@@ -325,7 +325,7 @@
 	if err := errors.Join(filled(p, "a", "2"), filled(p, "a", "3")); err != nil {
 		return err
 	}
-	p.Spoil(func([]byte) []byte { return copied })
+	p.Corrupt(func([]byte) []byte { return copied })
 	s, found, err := p.Open(storeOwner)
 	if err != nil {
 		return err
