--- a/internal/testkit/callers/call.go
+++ b/internal/testkit/callers/call.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// pause goes on after a while, unless the callers have stopped.
-func (c *caller) pause(most time.Duration, next func()) {
-	c.all.world.After(time.Duration(c.all.random.Float64()*float64(most)), func() {
+// runAfter goes on after a while, unless the callers have stopped.
+func (c *caller) runAfter(most time.Duration, next func()) {
+	c.all.env.After(time.Duration(c.all.random.Float64()*float64(most)), func() {
 		if !c.all.stopped {
 			next()
 		}
@@ -44,7 +44,7 @@
 // call makes a call and goes on with its outcome. After one without a clear answer or a refusal it turns to another machine.
 func (c *caller) call(wanted history.Call, then func(*history.Call)) {
 	wanted.Caller = c.name
-	wanted.Sent = c.all.world.Now()
+	wanted.Sent = c.all.env.Now()
 	started := &attempt{caller: c, call: &wanted, then: then}
 	c.all.calls = append(c.all.calls, started.call)
 	timeout := Timeout
@@ -52,8 +52,8 @@
 	if watch := request.GetWatch(); watch != nil {
 		timeout += time.Duration(watch.GetWaitMs()) * time.Millisecond
 	}
-	cancel := c.all.world.Submit(c.turn, request, started.answered)
-	c.all.world.After(timeout, func() {
+	cancel := c.all.env.Submit(c.turn, request, started.answered)
+	c.all.env.After(timeout, func() {
 		if !started.done {
 			cancel()
 			started.finish(history.Unclear)
@@ -83,7 +83,7 @@
 func (a *attempt) finish(outcome history.Outcome) {
 	a.done = true
 	a.call.Outcome = outcome
-	a.call.Answered = a.caller.all.world.Now()
+	a.call.Answered = a.caller.all.env.Now()
 	if isOpen(a.call) {
 		a.caller.turn++
 	}
--- a/internal/testkit/callers/callers.go
+++ b/internal/testkit/callers/callers.go
@@ -46,7 +46,7 @@
 
 // Callers are the applications of a run.
 type Callers struct {
-	world    Environment
+	env      Environment
 	random   *rand.Rand
 	stopped  bool
 	watchers []*watcher
@@ -55,7 +55,7 @@
 
 // Start has callers of all kinds begin.
 func Start(world Environment, random *rand.Rand) *Callers {
-	all := &Callers{world: world, random: random}
+	all := &Callers{env: world, random: random}
 	for number := range 4 {
 		(&locker{caller: all.newCaller(fmt.Sprintf("locker%d", number))}).rest()
 	}
--- a/internal/testkit/callers/final.go
+++ b/internal/testkit/callers/final.go
@@ -18,7 +18,7 @@
 	for _, name := range keyNames {
 		c.newCaller("final " + name).callUntilAnswered(history.Call{Kind: history.Read, Name: name, Final: true})
 	}
-	for fresh := range c.world.Now() / freshKeyInterval {
+	for fresh := range c.env.Now() / freshKeyInterval {
 		name := fmt.Sprintf("fresh%d.a", fresh)
 		c.newCaller("final " + name).callUntilAnswered(history.Call{Kind: history.Read, Name: name, Final: true})
 	}
@@ -32,7 +32,7 @@
 	probes := []history.Call{
 		{Kind: history.Acquire, Name: lockNames[0], Hold: time.Second},
 		{Kind: history.Number, Name: counterNames[0]},
-		{Kind: history.Put, Name: keyNames[0], Value: fmt.Sprintf("probe-%d", c.world.Now())},
+		{Kind: history.Put, Name: keyNames[0], Value: fmt.Sprintf("probe-%d", c.env.Now())},
 		{Kind: history.Read, Name: keyNames[1]},
 	}
 	for _, wanted := range probes {
@@ -45,7 +45,7 @@
 func (c *caller) probe(wanted history.Call, served func(history.Kind)) {
 	c.call(wanted, func(call *history.Call) {
 		if isOpen(call) {
-			c.all.world.After(c.all.between(50*time.Millisecond, 150*time.Millisecond), func() { c.probe(wanted, served) })
+			c.all.env.After(c.all.between(50*time.Millisecond, 150*time.Millisecond), func() { c.probe(wanted, served) })
 			return
 		}
 		served(call.Kind)
@@ -57,7 +57,7 @@
 	c.call(wanted, func(call *history.Call) {
 		switch call.Outcome {
 		case history.Unclear, history.Refused, history.Held:
-			c.all.world.After(c.all.between(50*time.Millisecond, 150*time.Millisecond), func() { c.callUntilAnswered(wanted) })
+			c.all.env.After(c.all.between(50*time.Millisecond, 150*time.Millisecond), func() { c.callUntilAnswered(wanted) })
 		}
 	})
 }
--- a/internal/testkit/callers/keys.go
+++ b/internal/testkit/callers/keys.go
@@ -9,21 +9,21 @@
 
 func (c *caller) takeNumbers() {
 	c.call(history.Call{Kind: history.Number, Name: pick(c.all.random, counterNames)}, func(*history.Call) {
-		c.pause(c.pace, c.takeNumbers)
+		c.runAfter(c.pace, c.takeNumbers)
 	})
 }
 
 // someKey is one of the keys that are used all the time, or the fresh one.
 func (c *caller) someKey() string {
 	if c.all.chance(0.2) {
-		return fmt.Sprintf("fresh%d.a", c.all.world.Now()/freshKeyInterval)
+		return fmt.Sprintf("fresh%d.a", c.all.env.Now()/freshKeyInterval)
 	}
 	return pick(c.all.random, keyNames)
 }
 
 func (c *caller) readKeys() {
 	c.call(history.Call{Kind: history.Read, Name: c.someKey()}, func(*history.Call) {
-		c.pause(c.pace, c.readKeys)
+		c.runAfter(c.pace, c.readKeys)
 	})
 }
 
@@ -42,7 +42,7 @@
 		case history.Compacted:
 			w.after = 0
 		}
-		w.pause(w.pace, w.watch)
+		w.runAfter(w.pace, w.watch)
 	})
 }
 
@@ -53,7 +53,7 @@
 	values int
 }
 
-func (p *putter) rest() { p.pause(p.pace, p.begin) }
+func (p *putter) rest() { p.runAfter(p.pace, p.begin) }
 
 func (p *putter) begin() {
 	p.values++
@@ -65,14 +65,14 @@
 		}
 		put.Expected = &expected
 	}
-	p.send(put, p.all.world.Now()+putAgainFor)
+	p.send(put, p.all.env.Now()+putAgainFor)
 }
 
 func (p *putter) send(put history.Call, until time.Duration) {
 	p.call(put, func(call *history.Call) {
 		switch {
 		case isOpen(call) && call.Answered < until:
-			p.pause(50*time.Millisecond, func() { p.send(put, until) })
+			p.runAfter(50*time.Millisecond, func() { p.send(put, until) })
 			return
 		case call.Outcome == history.OK || call.Outcome == history.Mismatch:
 			p.known[put.Name] = call.Revision
--- a/internal/testkit/callers/locker.go
+++ b/internal/testkit/callers/locker.go
@@ -14,9 +14,9 @@
 	until time.Duration
 }
 
-func (l *locker) rest() { l.pause(l.pace, l.begin) }
+func (l *locker) rest() { l.runAfter(l.pace, l.begin) }
 
-func (l *locker) hold() time.Duration {
+func (l *locker) drawHold() time.Duration {
 	return pick(l.all.random, []time.Duration{200 * time.Millisecond, 700 * time.Millisecond, 2 * time.Second})
 }
 
@@ -27,13 +27,13 @@
 
 // acquire asks for the lock, which it may hold already.
 func (l *locker) acquire(then func()) {
-	l.call(history.Call{Kind: history.Acquire, Name: l.lock, Hold: l.hold()}, func(call *history.Call) {
+	l.call(history.Call{Kind: history.Acquire, Name: l.lock, Hold: l.drawHold()}, func(call *history.Call) {
 		l.granted(call, then)
 	})
 }
 
 func (l *locker) renew(then func()) {
-	l.call(history.Call{Kind: history.Renew, Name: l.lock, Fence: l.fence, Hold: l.hold()}, func(call *history.Call) {
+	l.call(history.Call{Kind: history.Renew, Name: l.lock, Fence: l.fence, Hold: l.drawHold()}, func(call *history.Call) {
 		l.granted(call, then)
 	})
 }
@@ -60,26 +60,26 @@
 func (l *locker) usePlan() {
 	switch l.all.random.IntN(6) {
 	case 0, 1:
-		l.pause(l.left(), l.release)
+		l.runAfter(l.left(), l.release)
 	case 2, 3:
-		l.keep(l.all.world.Now() + l.all.between(500*time.Millisecond, 5000*time.Millisecond))
+		l.keep(l.all.env.Now() + l.all.between(500*time.Millisecond, 5000*time.Millisecond))
 	case 4: // it dies, and starts again
-		l.all.world.After(l.all.between(50*time.Millisecond, 4000*time.Millisecond), l.rest)
+		l.all.env.After(l.all.between(50*time.Millisecond, 4000*time.Millisecond), l.rest)
 	case 5:
-		l.all.world.After(l.left()+l.all.between(0, 1500*time.Millisecond), l.wakeLate)
+		l.all.env.After(l.left()+l.all.between(0, 1500*time.Millisecond), l.wakeLate)
 	}
 }
 
 // left is how much longer the caller holds the lock.
-func (l *locker) left() time.Duration { return max(l.until-l.all.world.Now(), 0) }
+func (l *locker) left() time.Duration { return max(l.until-l.all.env.Now(), 0) }
 
 // keep holds the lock for long.
 func (l *locker) keep(end time.Duration) {
-	if l.all.world.Now() >= end {
+	if l.all.env.Now() >= end {
 		l.release()
 		return
 	}
-	l.pause(l.left()*2/3, func() {
+	l.runAfter(l.left()*2/3, func() {
 		again := func() { l.keep(end) }
 		if l.all.chance(0.2) {
 			l.acquire(again)
@@ -101,7 +101,7 @@
 func (l *locker) release() {
 	l.call(history.Call{Kind: history.Release, Name: l.lock, Fence: l.fence}, func(call *history.Call) {
 		if call.Outcome != history.OK && l.all.chance(0.5) {
-			l.pause(l.pace, l.release)
+			l.runAfter(l.pace, l.release)
 			return
 		}
 		l.rest()
--- a/internal/testkit/contract/channel.go
+++ b/internal/testkit/contract/channel.go
@@ -46,7 +46,7 @@
 	{"a slow reader makes no other one wait", channelSlow},
 	{"who comes back at an address is reached again", channelBack},
 	{"what strangers write does no harm", channelStrangers},
-	{"silence in a frame is a break", channelSilence},
+	{"silence in a frame is a break", channelReadTimeout},
 	{"close ends all that was begun", channelClose},
 }
 
@@ -206,7 +206,7 @@
 		a.Stream(toSlow, make([]byte, m.MostFrame))
 	}
 	a.Stream(to, []byte(lastFrame))
-	if took := time.Since(from); took > patience/2 {
+	if took := time.Since(from); took > waitTimeout/2 {
 		return fmt.Errorf("the sender was held up for %v", took)
 	}
 	return until("a frame to another one", func() bool { return in.has(lastFrame) })
@@ -235,7 +235,7 @@
 	go func() {
 		nc, err := ln.Accept()
 		if err == nil {
-			if err = nc.SetReadDeadline(time.Now().Add(patience)); err == nil {
+			if err = nc.SetReadDeadline(time.Now().Add(waitTimeout)); err == nil {
 				_, err = io.ReadFull(nc, make([]byte, 1))
 			}
 			err = errors.Join(err, nc.Close())
@@ -262,7 +262,7 @@
 	}
 	defer end()
 	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x00", "\xff\xff\xff\xff and so on", "\x00\x00\x01\x00 too short"} {
-		nc, err := net.DialTimeout("tcp", b.Addr(), patience)
+		nc, err := net.DialTimeout("tcp", b.Addr(), waitTimeout)
 		if err != nil {
 			return err
 		}
@@ -281,7 +281,7 @@
 	return nil
 }
 
-func channelSilence(t T, m ChannelMaker) error {
+func channelReadTimeout(t T, m ChannelMaker) error {
 	if !m.Sockets {
 		return nil
 	}
@@ -290,20 +290,20 @@
 		return err
 	}
 	defer end()
-	nc, err := net.DialTimeout("tcp", b.Addr(), patience)
+	nc, err := net.DialTimeout("tcp", b.Addr(), waitTimeout)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = nc.Close() }()
 	_, writeErr := nc.Write([]byte{0, 0, 1, 0, 7})
-	if err := errors.Join(writeErr, nc.SetReadDeadline(time.Now().Add(m.ReadTimeout+patience))); err != nil {
+	if err := errors.Join(writeErr, nc.SetReadDeadline(time.Now().Add(m.ReadTimeout+waitTimeout))); err != nil {
 		return err
 	}
 	from := time.Now()
 	if _, err := nc.Read(make([]byte, 1)); errors.Is(err, nil) || isTimeout(err) {
 		return errors.Join(fmt.Errorf("a frame that does not go on is no break after %v", time.Since(from)), err)
 	}
-	if took := time.Since(from); took < m.ReadTimeout/2 || took > m.ReadTimeout+patience/2 {
+	if took := time.Since(from); took < m.ReadTimeout/2 || took > m.ReadTimeout+waitTimeout/2 {
 		return fmt.Errorf("a break after %v, promised after %v", took, m.ReadTimeout)
 	}
 	return nil
@@ -330,7 +330,7 @@
 	a.Close() // a second time does nothing
 	a.Stream(to, []byte("late"))
 	_ = a.Datagram(to, []byte("late")) // an error, or lost
-	if took := time.Since(from); took > patience/2 {
+	if took := time.Since(from); took > waitTimeout/2 {
 		return fmt.Errorf("close took %v", took)
 	}
 	return goleak.Find(before)
--- a/internal/testkit/contract/contract.go
+++ b/internal/testkit/contract/contract.go
@@ -22,8 +22,8 @@
 	Logf(format string, args ...any)
 }
 
-// patience bounds every wait for a condition. A test that passes never needs it.
-const patience = 10 * time.Second
+// waitTimeout bounds every wait for a condition. A test that passes never needs it.
+const waitTimeout = 10 * time.Second
 
 // Clause is one promise; its name is what a failure begins with.
 type Clause[M any] struct {
@@ -57,9 +57,9 @@
 
 // until waits for a condition.
 func until(what string, cond func() bool) error {
-	for end := time.Now().Add(patience); !cond(); <-time.After(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !cond(); <-time.After(time.Millisecond) {
 		if time.Now().After(end) {
-			return fmt.Errorf("not within %v: %s", patience, what)
+			return fmt.Errorf("not within %v: %s", waitTimeout, what)
 		}
 	}
 	return nil
--- a/internal/testkit/contract/place.go
+++ b/internal/testkit/contract/place.go
@@ -68,7 +68,7 @@
 			if found.Warning != "" {
 				return errors.New("told: " + found.Warning)
 			}
-			k := &dying{Store: s, left: rng.IntN(5), read: read, spins: rng.IntN(20_000)}
+			k := &crashingStore{Store: s, left: rng.IntN(5), read: read, spins: rng.IntN(20_000)}
 			if err := work(k); err != nil && !errors.Is(err, errKilled) {
 				return err
 			}
@@ -86,8 +86,8 @@
 	}
 }
 
-// dying is a store whose process dies in one of its batches.
-type dying struct {
+// crashingStore is a store whose process dies in one of its batches.
+type crashingStore struct {
 	store.Store
 	left   int // batches before that
 	spins  int // how far into it
@@ -95,7 +95,7 @@
 	copied []byte
 }
 
-func (d *dying) Commit(b *store.Batch) error {
+func (d *crashingStore) Commit(b *store.Batch) error {
 	if d.copied != nil {
 		return errKilled
 	}
--- a/internal/testkit/contract/source.go
+++ b/internal/testkit/contract/source.go
@@ -38,7 +38,7 @@
 var SourceClauses = []Clause[SourceMaker]{
 	{"the list and each change are told in order", sourceOrder},
 	{"a break is told once and the list stays", sourceBreak},
-	{"silence is a break, signs are none", sourceSilence},
+	{"silence is a break, signs are none", sourceIdleTimeout},
 	{"what cannot be read is a break and changes nothing", sourceMalformed},
 	{"a new call ends the one before unheard", sourceReplaced},
 	{"close ends all that was begun", sourceClose},
@@ -82,7 +82,7 @@
 	case nc := <-d.calls:
 		_, err := fmt.Fprint(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		return nc, err
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		return nil, errors.New("no call came")
 	}
 }
@@ -92,14 +92,14 @@
 	return err
 }
 
-// heard is what a source has told.
-type heard struct {
+// notifications is what a source has told.
+type notifications struct {
 	mu    sync.Mutex
 	lists []string
 	lost  int
 }
 
-func (h *heard) notified(names map[string]bool) {
+func (h *notifications) notified(names map[string]bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var all []string
@@ -111,31 +111,31 @@
 	h.lists = append(h.lists, strings.Join(all, ""))
 }
 
-func (h *heard) gone() {
+func (h *notifications) addLoss() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lost++
 }
 
-func (h *heard) is(lists string, lost int) bool {
+func (h *notifications) equal(lists string, lost int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return strings.Join(h.lists, " ") == lists && h.lost == lost
 }
 
-func (h *heard) String() string {
+func (h *notifications) String() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return fmt.Sprintf("told %q, %d losses", strings.Join(h.lists, " "), h.lost)
 }
 
 // begin starts discovery and a source whose first call is answered with a list of a and b.
-func (m SourceMaker) begin(t T) (d *discovery, s Source, h *heard, nc net.Conn, err error) {
+func (m SourceMaker) begin(t T) (d *discovery, s Source, h *notifications, nc net.Conn, err error) {
 	if d, err = newDiscovery(); err != nil {
 		return nil, nil, nil, nil, err
 	}
-	h = &heard{}
-	if s, err = m.Begin(t, d.ln.Addr().String(), h.notified, h.gone); err != nil {
+	h = &notifications{}
+	if s, err = m.Begin(t, d.ln.Addr().String(), h.notified, h.addLoss); err != nil {
 		return nil, nil, nil, nil, err
 	}
 	s.Watch()
@@ -148,8 +148,8 @@
 	return d, s, h, nc, err
 }
 
-func (h *heard) wait(lists string, lost int) error {
-	if err := until(fmt.Sprintf("%q and %d losses", lists, lost), func() bool { return h.is(lists, lost) }); err != nil {
+func (h *notifications) wait(lists string, lost int) error {
+	if err := until(fmt.Sprintf("%q and %d losses", lists, lost), func() bool { return h.equal(lists, lost) }); err != nil {
 		return fmt.Errorf("%w, but %s", err, h)
 	}
 	return nil
@@ -191,7 +191,7 @@
 	return h.wait("ab a", 1)
 }
 
-func sourceSilence(t T, m SourceMaker) error {
+func sourceIdleTimeout(t T, m SourceMaker) error {
 	d, s, h, nc, err := m.begin(t)
 	if err != nil {
 		return err
@@ -203,7 +203,7 @@
 		if err := write(nc, m.Heartbeat); err != nil {
 			return err
 		}
-		if !h.is("ab", 0) {
+		if !h.equal("ab", 0) {
 			return fmt.Errorf("signs came, but %s", h)
 		}
 	}
@@ -266,7 +266,7 @@
 	if err := goleak.Find(before); err != nil {
 		return err
 	}
-	if !h.is("ab", 0) {
+	if !h.equal("ab", 0) {
 		return fmt.Errorf("after close: %s", h)
 	}
 	return nil
--- a/internal/testkit/contract/store.go
+++ b/internal/testkit/contract/store.go
@@ -49,7 +49,7 @@
 	{"torn or foreign bytes are one clear line and a blank store", storeTorn},
 	{"a later format is refused untouched", storeLater},
 	{"another owner's store is refused untouched", storeOwners},
-	{"an older copy put back is recognised", storeOldCopy},
+	{"an older copy put back is recognised", storeRollback},
 	{"one process has it at a time", storeBusy},
 }
 
@@ -202,8 +202,8 @@
 	return nil
 }
 
-// spoils are what may happen to kept bytes.
-var spoils = map[string]func([]byte) []byte{
+// corruptions are what may happen to kept bytes.
+var corruptions = map[string]func([]byte) []byte{
 	"cut in the middle":   func(b []byte) []byte { return b[:len(b)/2] },
 	"cut to nothing":      func([]byte) []byte { return nil },
 	"a few bytes":         func([]byte) []byte { return []byte("abc") },
@@ -226,7 +226,7 @@
 }
 
 func storeTorn(t T, m StoreMaker) error {
-	for name, change := range spoils {
+	for name, change := range corruptions {
 		p := m.Begin(t, 3)
 		if p.Corrupt == nil {
 			return nil
@@ -313,7 +313,7 @@
 	return nil
 }
 
-func storeOldCopy(t T, m StoreMaker) error {
+func storeRollback(t T, m StoreMaker) error {
 	p := m.Begin(t, 6)
 	if !p.DetectsRollback {
 		return nil
--- a/internal/testkit/contract/transport.go
+++ b/internal/testkit/contract/transport.go
@@ -29,18 +29,18 @@
 	{"each claim is reported once, as it ended", nodesOutcomes},
 	{"a claim is written once at the most", nodesOnce},
 	{"an answer serves the claim that it was made for alone", nodesOwn},
-	{"a silent node makes no other one wait", nodesSilent},
-	{"nothing new goes to a node that is gone", nodesGone},
+	{"a silent node makes no other one wait", nodesUnresponsive},
+	{"nothing new goes to a node that is gone", nodesRemoved},
 	{"close ends all that was begun once the last claim is reported", nodesClose},
 }
 
 // peer is an execute node: behave has each request that came whole, and its connection.
 type peer struct {
-	ln    net.Listener
-	mu    sync.Mutex
-	seen  [][]byte
-	conns []net.Conn
-	wg    sync.WaitGroup
+	ln       net.Listener
+	mu       sync.Mutex
+	requests [][]byte
+	conns    []net.Conn
+	wg       sync.WaitGroup
 }
 
 func newPeer(m TransportMaker, behave func(nc net.Conn, n int)) (*peer, error) {
@@ -75,8 +75,8 @@
 		read = append(read, b[:n]...)
 		for whole := m.Complete(read); whole > 0; whole = m.Complete(read) {
 			p.mu.Lock()
-			p.seen = append(p.seen, read[:whole:whole])
-			count := len(p.seen)
+			p.requests = append(p.requests, read[:whole:whole])
+			count := len(p.requests)
 			p.mu.Unlock()
 			read = read[whole:]
 			behave(nc, count)
@@ -87,7 +87,7 @@
 func (p *peer) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.seen)
+	return len(p.requests)
 }
 
 func (p *peer) close() {
@@ -199,7 +199,7 @@
 	r := newReports()
 	node := m.New(t).Open(relay.Member{Addr: address, ListedAt: time.Now()}, r.add)
 	defer node.Close()
-	if res, err := m.claim(node, r, 1, patience/10); err != nil || res.Outcome != logic.Refused {
+	if res, err := m.claim(node, r, 1, waitTimeout/10); err != nil || res.Outcome != logic.Refused {
 		return errors.Join(fmt.Errorf("nobody there: outcome %d", res.Outcome), err)
 	}
 	return nil
@@ -255,7 +255,7 @@
 	return nil
 }
 
-func nodesSilent(t T, m TransportMaker) error {
+func nodesUnresponsive(t T, m TransportMaker) error {
 	nodes := m.New(t)
 	silent, err := newPeer(m, func(net.Conn, int) {})
 	if err != nil {
@@ -276,7 +276,7 @@
 	for n := 100; n < 104; n++ {
 		a.Start(relay.Attempt{ID: claimID(n), Payload: m.Request("s"), Deadline: time.Now().Add(time.Second)})
 	}
-	if res, err := m.claim(b, r, 1, patience); err != nil || res.Outcome != logic.Done {
+	if res, err := m.claim(b, r, 1, waitTimeout); err != nil || res.Outcome != logic.Done {
 		return errors.Join(fmt.Errorf("beside a silent node: outcome %d", res.Outcome), err)
 	}
 	if took := time.Since(from); took > 900*time.Millisecond {
@@ -290,7 +290,7 @@
 	return nil
 }
 
-func nodesGone(t T, m TransportMaker) error {
+func nodesRemoved(t T, m TransportMaker) error {
 	p, node, r, err := m.open(t, func(nc net.Conn, _ int) { send(nc, m.Answer("hi")) })
 	if err != nil {
 		return err
--- a/internal/testkit/recordedtest/recordedtest.go
+++ b/internal/testkit/recordedtest/recordedtest.go
@@ -46,10 +46,10 @@
 	}
 	*lines = append(*lines, fmt.Sprintf("%s passthrough=%t hidden=%t", line, node.Passthrough, node.Hidden))
 	for _, argument := range node.Positional {
-		*lines = append(*lines, "  argument "+valueLine(argument))
+		*lines = append(*lines, "  argument "+describeValue(argument))
 	}
 	for _, flag := range node.Flags {
-		line := fmt.Sprintf("  flag --%s env=%q aliases=%q hidden=%t", valueLine(flag.Value), flag.Envs, flag.Aliases, flag.Hidden)
+		line := fmt.Sprintf("  flag --%s env=%q aliases=%q hidden=%t", describeValue(flag.Value), flag.Envs, flag.Aliases, flag.Hidden)
 		if flag.Short != 0 {
 			line += " short=" + string(flag.Short)
 		}
@@ -63,7 +63,7 @@
 	}
 }
 
-func valueLine(value *kong.Value) string {
+func describeValue(value *kong.Value) string {
 	kind := value.Target.Kind().String()
 	if of := value.Target.Type(); of.PkgPath() == "time" {
 		kind = of.String()
