--- a/internal/testkit/contract/broken_test.go
+++ b/internal/testkit/contract/broken_test.go
@@ -9,7 +9,8 @@
 	"fieldrelay/internal/sidecar/store"
 )
 
-// broken wraps what a place opens.
+// broken makes faulty file stores: layer wraps the file system, wrap the store, redo decides about a second attempt to open after
+// an error, and owner replaces the owner that opens the store.
 func broken(layer func(store.FileSystem) store.FileSystem, wrap func(store.Store) store.Store, redo func(l store.FileSystem, path string, err error) bool, owner string) StoreMaker {
 	const most = 4 << 10
 	return StoreMaker{Most: most, Begin: func(t T, seed uint64) StoreFixture {
@@ -44,7 +45,7 @@
 
 func (unlocked) Lock(string) (func() error, error) { return func() error { return nil }, nil }
 
-// forgetful keeps no word on how far it had come.
+// forgetful hides the file that records how far the store has come.
 type forgetful struct{ store.FileSystem }
 
 func (f forgetful) ReadFile(path string, most int) ([]byte, error) {
@@ -54,7 +55,7 @@
 	return f.FileSystem.ReadFile(path, most)
 }
 
-// trusting reads what is there as if it were whole: what is torn ends the process's start.
+// halving commits a part of a batch that is over the size limit.
 type halving struct{ store.Store }
 
 func (h halving) Commit(b *store.Batch) error {
@@ -69,13 +70,13 @@
 func (l lossy) Each(prefix string, do func(string, []byte) error) error {
 	return l.Store.Each(prefix, func(k string, v []byte) error {
 		if len(v) == 0 {
-			return nil // an empty value is taken for none
+			return nil // treats an empty value as missing
 		}
 		return do(k, v)
 	})
 }
 
-// stubborn does not start on what is torn.
+// stubborn makes stores that cannot be opened when their data is corrupt.
 func stubborn() StoreMaker {
 	m := broken(nil, nil, nil, "")
 	begin := m.Begin
@@ -94,7 +95,7 @@
 	return m
 }
 
-// Each clause has a store that breaks it, and is the one that is named.
+// The suite must report the violated clause of each faulty store, and none of a correct store.
 func TestBrokenStoresAreNamed(t *testing.T) {
 	wipe := func(which error) func(l store.FileSystem, path string, err error) bool {
 		return func(l store.FileSystem, path string, err error) bool {
@@ -102,14 +103,14 @@
 		}
 	}
 	for want, m := range map[string]StoreMaker{
-		"a batch is done whole and in order":                         broken(nil, func(s store.Store) store.Store { return lossy{s} }, nil, ""),
-		"a batch over the bound is refused whole":                    broken(nil, func(s store.Store) store.Store { return halving{s} }, nil, ""),
-		"what was acknowledged is there after a crash":               broken(func(l store.FileSystem) store.FileSystem { return unsynced{l} }, nil, nil, ""),
-		"torn or foreign bytes are one clear line and a blank store": stubborn(),
-		"a later format is refused untouched":                        broken(nil, nil, wipe(store.ErrNewerFormat), ""),
-		"another owner's store is refused untouched":                 broken(nil, nil, nil, "anybody"),
-		"an older copy put back is recognised":                       broken(func(l store.FileSystem) store.FileSystem { return forgetful{l} }, nil, nil, ""),
-		"one process has it at a time":                               broken(func(l store.FileSystem) store.FileSystem { return unlocked{l} }, nil, nil, ""),
+		"a batch is applied completely and in order":                        broken(nil, func(s store.Store) store.Store { return lossy{s} }, nil, ""),
+		"a batch over the size limit is rejected completely":                broken(nil, func(s store.Store) store.Store { return halving{s} }, nil, ""),
+		"acknowledged batches survive a crash":                              broken(func(l store.FileSystem) store.FileSystem { return unsynced{l} }, nil, nil, ""),
+		"corrupt or foreign data gives one warning line and an empty store": stubborn(),
+		"a newer format is rejected unchanged":                              broken(nil, nil, wipe(store.ErrNewerFormat), ""),
+		"another owner's store is rejected unchanged":                       broken(nil, nil, nil, "anybody"),
+		"a restored older copy is detected":                                 broken(func(l store.FileSystem) store.FileSystem { return forgetful{l} }, nil, nil, ""),
+		"one process at a time can open the store":                          broken(func(l store.FileSystem) store.FileSystem { return unlocked{l} }, nil, nil, ""),
 	} {
 		names := Broken(t, StoreClauses, m)
 		found := false
@@ -117,10 +118,10 @@
 			found = found || n == want
 		}
 		if !found {
-			t.Errorf("%s: not named, but %q", want, names)
+			t.Errorf("violation of %q not reported; reported: %q", want, names)
 		}
 	}
 	if names := Broken(t, StoreClauses, broken(nil, nil, nil, "")); len(names) > 0 {
-		t.Errorf("a whole store is said to break %q", names)
+		t.Errorf("suite reported violations of a correct store: %q", names)
 	}
 }
--- a/internal/testkit/contract/channel.go
+++ b/internal/testkit/contract/channel.go
@@ -13,48 +13,49 @@
 	"go.uber.org/goleak"
 )
 
-// Channel is one sidecar's end of what passes between sidecars.
+// Channel is one sidecar's endpoint for messages between sidecars.
 type Channel interface {
-	// Addr is the address (host:port) at which it listens.
+	// Addr returns the address (host:port) at which the channel listens.
 	Addr() string
-	// Datagram sends a frame that may be lost. It does not block; a frame that is too long is the error.
+	// Datagram sends a frame that may be lost. It does not block; it returns an error for a frame that is too long.
 	Datagram(address string, frame []byte) error
-	// Stream queues a frame. It does not block; what a slow peer does not take is dropped, the oldest first.
+	// Stream queues a frame. It does not block; when a slow peer does not take its frames, the oldest are dropped first.
 	Stream(address string, frame []byte)
-	// Close ends it and all that it has begun. A second call does nothing.
+	// Close closes the channel and stops everything that it started. A second call does nothing.
 	Close()
 }
 
 // ChannelMaker opens channels.
 type ChannelMaker struct {
 	Listen func(t T, deliver func(frame []byte)) (Channel, error)
-	// Reach is the address at which one reaches another, and what ends that way; nil: where it listens.
+	// Reach returns the address at which other channels reach a channel, and a function that ends this route; nil: channels
+	// are reached at the address at which they listen.
 	Reach func(t T, to Channel) (address string, end func(), err error)
-	// MostDatagram and MostFrame are the longest frames, in bytes.
+	// MostDatagram and MostFrame are the maximum lengths, in bytes, of a datagram frame and of a stream frame.
 	MostDatagram, MostFrame int
-	// Sockets tells that others can dial the address of a channel, which then reads what they write.
+	// Sockets reports whether clients can dial the address of a channel over TCP; the channel then reads what they write.
 	Sockets bool
-	// ReadTimeout is after what time a frame that has begun and does not go on is a break.
+	// ReadTimeout is the time after which the channel closes a connection on which a frame has begun but does not go on.
 	ReadTimeout time.Duration
 }
 
-// ChannelClauses are what every channel between sidecars promises.
+// ChannelClauses are the requirements on every channel between sidecars.
 var ChannelClauses = []Clause[ChannelMaker]{
-	{"frames of a stream come once and in order", channelOrder},
-	{"a frame comes as it was sent or not at all", channelComplete},
-	{"frames that are too long go nowhere", channelLong},
-	{"a slow reader makes no other one wait", channelSlow},
-	{"who comes back at an address is reached again", channelBack},
-	{"what strangers write does no harm", channelStrangers},
-	{"silence in a frame is a break", channelReadTimeout},
-	{"close ends all that was begun", channelClose},
+	{"stream frames are delivered at most once and in order", channelOrder},
+	{"a frame is delivered unchanged or not at all", channelComplete},
+	{"frames over the maximum length are not delivered", channelLong},
+	{"a slow receiver does not delay other receivers", channelSlow},
+	{"a new listener at a known address is reached", channelBack},
+	{"malformed input from unknown clients is ignored", channelStrangers},
+	{"a stalled frame closes the connection", channelReadTimeout},
+	{"close stops everything that was started", channelClose},
 }
 
-// inbox keeps what a channel delivers.
+// inbox records the frames that a channel delivers.
 type inbox struct {
 	mu     sync.Mutex
 	frames [][]byte
-	resume chan struct{} // a slow reader's deliver waits for it
+	resume chan struct{} // deliver blocks until it is closed, as a slow receiver does; nil: deliver does not block
 }
 
 func (in *inbox) deliver(frame []byte) {
@@ -81,7 +82,8 @@
 	return false
 }
 
-// pair opens two channels, and gives the way from the first to the second.
+// pair opens two channels. It returns them, the inbox of the second one, the address at which the first reaches the second,
+// and a function that closes both.
 func (m ChannelMaker) pair(t T) (a, b Channel, in *inbox, to string, end func(), err error) {
 	in = &inbox{}
 	if a, err = m.Listen(t, func([]byte) {}); err != nil {
@@ -124,7 +126,7 @@
 	}
 	for i, f := range in.all()[1:] {
 		if before := in.all()[i]; binary.BigEndian.Uint32(before) >= binary.BigEndian.Uint32(f) {
-			return fmt.Errorf("frame %d came behind frame %d", binary.BigEndian.Uint32(f), binary.BigEndian.Uint32(before))
+			return fmt.Errorf("frame %d was delivered after frame %d", binary.BigEndian.Uint32(f), binary.BigEndian.Uint32(before))
 		}
 	}
 	return nil
@@ -153,7 +155,7 @@
 	}
 	for _, f := range in.all() {
 		if string(f) != lastFrame && !sent[string(f)] {
-			return fmt.Errorf("a frame of %d bytes came that was not sent", len(f))
+			return fmt.Errorf("channel delivered a frame of %d bytes that was not sent", len(f))
 		}
 	}
 	return nil
@@ -166,18 +168,18 @@
 	}
 	defer end()
 	if a.Datagram(to, make([]byte, m.MostDatagram+1)) == nil {
-		return errors.New("a datagram over the bound was taken")
+		return errors.New("Datagram accepted a frame over the maximum length")
 	}
 	a.Stream(to, make([]byte, m.MostFrame+1))
-	if err := until("a frame behind one over the bound", func() bool {
-		a.Stream(to, []byte(lastFrame)) // the stream may have been broken by the one before
+	if err := until("delivery of a frame sent after one over the maximum length", func() bool {
+		a.Stream(to, []byte(lastFrame)) // the frame over the maximum may have closed the connection
 		return in.has(lastFrame)
 	}); err != nil {
 		return err
 	}
 	for _, f := range in.all() {
 		if len(f) > m.MostFrame {
-			return fmt.Errorf("a frame of %d bytes was delivered", len(f))
+			return fmt.Errorf("channel delivered a frame of %d bytes, which is over the maximum", len(f))
 		}
 	}
 	return nil
@@ -207,9 +209,9 @@
 	}
 	a.Stream(to, []byte(lastFrame))
 	if took := time.Since(from); took > waitTimeout/2 {
-		return fmt.Errorf("the sender was held up for %v", took)
+		return fmt.Errorf("slow receiver blocked the sender for %v", took)
 	}
-	return until("a frame to another one", func() bool { return in.has(lastFrame) })
+	return until("delivery of a frame to another receiver", func() bool { return in.has(lastFrame) })
 }
 
 func channelBack(t T, m ChannelMaker) error {
@@ -226,7 +228,7 @@
 		return err
 	}
 	b.Close()
-	ln, err := net.Listen("tcp", to) // whoever is there now
+	ln, err := net.Listen("tcp", to) // the new listener at the same address
 	if err != nil {
 		return err
 	}
@@ -266,16 +268,16 @@
 		if err != nil {
 			return err
 		}
-		_, _ = io.WriteString(nc, text) // the channel may end it early
+		_, _ = io.WriteString(nc, text) // the channel may close the connection early
 		_ = nc.Close()
 	}
 	a.Stream(to, []byte(lastFrame))
-	if err := until("a frame behind what strangers wrote", func() bool { return in.has(lastFrame) }); err != nil {
+	if err := until("delivery of a frame sent after malformed input", func() bool { return in.has(lastFrame) }); err != nil {
 		return err
 	}
 	for _, f := range in.all() {
 		if len(f) > 300 {
-			return fmt.Errorf("a stranger's %d bytes were delivered", len(f))
+			return fmt.Errorf("channel delivered a frame of %d bytes from an unknown client", len(f))
 		}
 	}
 	return nil
@@ -301,10 +303,10 @@
 	}
 	from := time.Now()
 	if _, err := nc.Read(make([]byte, 1)); errors.Is(err, nil) || isTimeout(err) {
-		return errors.Join(fmt.Errorf("a frame that does not go on is no break after %v", time.Since(from)), err)
+		return errors.Join(fmt.Errorf("connection with a stalled frame is still open after %v", time.Since(from)), err)
 	}
 	if took := time.Since(from); took < m.ReadTimeout/2 || took > m.ReadTimeout+waitTimeout/2 {
-		return fmt.Errorf("a break after %v, promised after %v", took, m.ReadTimeout)
+		return fmt.Errorf("connection with a stalled frame was closed after %v, expected after %v", took, m.ReadTimeout)
 	}
 	return nil
 }
@@ -327,9 +329,9 @@
 	}
 	from := time.Now()
 	end()
-	a.Close() // a second time does nothing
+	a.Close() // a second Close does nothing
 	a.Stream(to, []byte("late"))
-	_ = a.Datagram(to, []byte("late")) // an error, or lost
+	_ = a.Datagram(to, []byte("late")) // either returns an error or loses the frame
 	if took := time.Since(from); took > waitTimeout/2 {
 		return fmt.Errorf("close took %v", took)
 	}
--- a/internal/testkit/contract/contract.go
+++ b/internal/testkit/contract/contract.go
@@ -1,9 +1,7 @@
-// Package contract holds what every store, channel, transport and list source
-// promises, as tests that take a maker and judge any implementation from
-// outside, in the way of the standard library's testing/slogtest. A new
-// implementation gets the whole set in one line. Each clause has an
-// implementation that breaks it on purpose (broken_test.go), and the contract
-// must name that clause.
+// Package contract holds conformance tests for stores, channels, transports and list sources. Like testing/slogtest of the
+// standard library, each test suite takes a maker of an implementation and checks it from outside; one call of Run applies
+// all clauses to a new implementation. The clauses are checked as well: for each one a deliberately faulty implementation
+// (for stores in broken_test.go) violates it, and the suite must report this clause.
 package contract
 
 import (
@@ -12,27 +10,27 @@
 	"time"
 )
 
-// T is what a contract reports to: a *testing.T, or, for implementations that are broken on purpose, a recorder.
+// T is what a clause needs of the test that runs it: a *testing.T, or a recorder for deliberately faulty implementations.
 type T interface {
-	// Helper marks its caller as a helper, whose line a failure does not name.
+	// Helper marks its caller as a test helper, so that failures report the line of the helper's caller.
 	Helper()
-	// TempDir returns a folder that is removed with the end of the test.
+	// TempDir returns a directory that is removed when the test ends.
 	TempDir() string
 	// Logf writes to the test's log.
 	Logf(format string, args ...any)
 }
 
-// waitTimeout bounds every wait for a condition. A test that passes never needs it.
+// waitTimeout bounds every wait for a condition. A passing test does not reach it.
 const waitTimeout = 10 * time.Second
 
-// Clause is one promise; its name is what a failure begins with.
+// Clause is one requirement on an implementation. Failure messages begin with its name.
 type Clause[M any] struct {
 	Name string
-	// Check gives what breaks the promise.
+	// Check returns an error that describes the violation, or nil.
 	Check func(t T, maker M) error
 }
 
-// Run judges an implementation by all clauses that its maker can be judged by.
+// Run checks an implementation against all clauses, each in a subtest.
 func Run[M any](t *testing.T, clauses []Clause[M], maker M) {
 	t.Helper()
 	for _, c := range clauses {
@@ -44,7 +42,7 @@
 	}
 }
 
-// Broken gives the names of the clauses that an implementation breaks.
+// Broken returns the names of the clauses that an implementation violates, and logs each violation.
 func Broken[M any](t T, clauses []Clause[M], maker M) (names []string) {
 	for _, c := range clauses {
 		if err := c.Check(t, maker); err != nil {
@@ -55,11 +53,11 @@
 	return names
 }
 
-// until waits for a condition.
+// until polls a condition until it holds, and returns an error that names the condition after waitTimeout.
 func until(what string, cond func() bool) error {
 	for end := time.Now().Add(waitTimeout); !cond(); <-time.After(time.Millisecond) {
 		if time.Now().After(end) {
-			return fmt.Errorf("not within %v: %s", waitTimeout, what)
+			return fmt.Errorf("condition not met within %v: %s", waitTimeout, what)
 		}
 	}
 	return nil
--- a/internal/testkit/contract/layer.go
+++ b/internal/testkit/contract/layer.go
@@ -12,34 +12,35 @@
 	"fieldrelay/internal/sidecar/store"
 )
 
-// errKilled is what a layer gives once the process on it is dead.
+// errKilled is the error of every file operation once the process is dead.
 var errKilled = errors.New("contract: the process is dead")
 
-// errSpace is a disk that is full.
+// errSpace is the error of a write to a full disk.
 var errSpace = errors.New("contract: no space left on device")
 
-// MemoryFileSystem is files in memory, of which only what was synced is sure to be there after Crash: the rest is torn, cut, flipped or
-// put in another order, as the seed draws. It can end the process at any operation and fill up.
+// MemoryFileSystem is an in-memory file system that simulates crashes. Only synced data is sure to survive Crash: unsynced
+// data is truncated, has a bit flipped or is mixed with older blocks, as drawn from the seed. It can end the process at any
+// operation and can run out of space.
 type MemoryFileSystem struct {
 	rng         *rand.Rand
-	files       map[string]file // as the process sees them
-	durable     map[string]file // names as they were when their folder was last synced
-	locks       map[string]int  // by life
-	incarnation int             // of the process
-	Ops         int             // done so far
-	KillAt      int             // operation at which the process ends; 0: none
-	Space       int             // bytes that may be in files; 0: no bound
-	moved       []move          // renames since the folder was synced, in order
+	files       map[string]file // current files, as the process sees them
+	durable     map[string]file // files under the names of the last SyncDir
+	locks       map[string]int  // incarnation that holds each lock, plus one
+	incarnation int             // number of crashes and kills so far
+	Ops         int             // number of operations of this process
+	KillAt      int             // number of the operation at which the process is killed; 0: none
+	Space       int             // maximum size of all files in bytes; 0: unlimited
+	moved       []move          // renames since the last SyncDir, in order
 }
 
 type file struct {
 	text   []byte
-	synced []byte // what is sure
+	synced []byte // contents at the last Sync
 }
 
 type move struct{ from, to string }
 
-// NewMemoryFileSystem makes an empty disk.
+// NewMemoryFileSystem returns an empty file system whose faults are drawn from the seed.
 func NewMemoryFileSystem(seed uint64) *MemoryFileSystem {
 	return &MemoryFileSystem{rng: rand.New(rand.NewPCG(seed, 0xd15c)), files: map[string]file{}, durable: map[string]file{}, locks: map[string]int{}}
 }
@@ -52,10 +53,10 @@
 	return nil
 }
 
-// MakeDir does nothing: folders are names.
+// MakeDir only counts as an operation: directories exist as parts of file names.
 func (l *MemoryFileSystem) MakeDir(string) error { return l.op() }
 
-// ReadFile reads.
+// ReadFile returns up to most bytes of a file.
 func (l *MemoryFileSystem) ReadFile(path string, most int) ([]byte, error) {
 	if err := l.op(); err != nil {
 		return nil, err
@@ -67,12 +68,12 @@
 	return slices.Clone(f.text[:min(len(f.text), most)]), nil
 }
 
-// WriteFile writes; nothing of it is sure before Sync.
+// WriteFile replaces the contents of a file. They are not durable before Sync.
 func (l *MemoryFileSystem) WriteFile(path string, text []byte) error {
 	err := l.op()
 	f := l.files[path]
 	f.text = slices.Clone(text)
-	if err != nil { // ended in the middle of it
+	if err != nil { // the process was killed during the write
 		f.text = f.text[:l.rng.IntN(len(f.text)+1)]
 	}
 	if over := l.size() - len(l.files[path].text) + len(f.text) - l.Space; l.Space > 0 && over > 0 {
@@ -90,7 +91,7 @@
 	return n
 }
 
-// Sync makes the text of a file sure.
+// Sync makes the contents of a file durable.
 func (l *MemoryFileSystem) Sync(path string) error {
 	if err := l.op(); err != nil {
 		return err
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// Rename renames; that is not sure before SyncDir.
+// Rename renames a file. The rename is not durable before SyncDir.
 func (l *MemoryFileSystem) Rename(from, to string) error {
 	if err := l.op(); err != nil {
 		return err
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// SyncDir makes the names of a folder sure.
+// SyncDir makes the names of all files durable.
 func (l *MemoryFileSystem) SyncDir(dir string) error {
 	if err := l.op(); err != nil {
 		return err
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// Lock takes a lock of this life.
+// Lock takes a lock that ends with the process at the latest.
 func (l *MemoryFileSystem) Lock(path string) (func() error, error) {
 	if err := l.op(); err != nil {
 		return nil, err
@@ -147,11 +148,11 @@
 	}, nil
 }
 
-// Crash ends the process and the machine: what was not synced is lost, kept or torn, each by chance, and renames that were
-// not synced may have been done or not. The next process finds the disk as it then is.
+// Crash ends the process and the machine. Each unsynced write is lost, kept or corrupted at random, and each unsynced rename
+// may have taken effect or not. The next process finds the resulting files.
 func (l *MemoryFileSystem) Crash() {
 	after := maps.Clone(l.durable)
-	for name, f := range l.files { // a file that was synced may be there under its new name without SyncDir
+	for name, f := range l.files { // a new file may exist under its name even without SyncDir
 		if _, ok := after[name]; !ok && l.rng.IntN(2) == 0 {
 			after[name] = f
 		}
@@ -176,7 +177,7 @@
 	l.end()
 }
 
-// Kill ends the process alone: the machine still has what was written.
+// Kill ends the process only: the machine keeps everything that was written.
 func (l *MemoryFileSystem) Kill() { l.end() }
 
 func (l *MemoryFileSystem) end() {
@@ -185,14 +186,14 @@
 	l.Ops, l.KillAt = 0, 0
 }
 
-// tear is what a crash may leave of a text that was not synced.
+// tear returns what a crash leaves of a file with unsynced contents.
 func (l *MemoryFileSystem) tear(f file) []byte {
 	switch l.rng.IntN(5) {
 	case 0:
 		return slices.Clone(f.synced)
 	case 1:
 		return slices.Clone(f.text)
-	case 2: // cut
+	case 2: // truncated
 		return slices.Clone(f.text[:l.rng.IntN(len(f.text)+1)])
 	case 3: // a bit flipped
 		text := slices.Clone(f.text)
@@ -201,7 +202,7 @@
 		}
 		return text
 	}
-	text := slices.Clone(f.text) // the first blocks are the old ones, or empty
+	text := slices.Clone(f.text) // the beginning has the old contents, or zeros
 	at := l.rng.IntN(len(text) + 1)
 	for i := range text[:at] {
 		text[i] = 0
@@ -212,7 +213,8 @@
 	return text
 }
 
-// Corrupt changes the file of a name in place, as a fault of the disk or a stranger would. It tells whether the file is there.
+// Corrupt changes a file and its durable copy in place, as a disk fault or another program does. It reports whether the file
+// exists.
 func (l *MemoryFileSystem) Corrupt(path string, change func([]byte) []byte) bool {
 	f, ok := l.files[path]
 	if ok {
@@ -223,10 +225,10 @@
 	return ok
 }
 
-// Text is a file as it is now.
+// Text returns the current contents of a file.
 func (l *MemoryFileSystem) Text(path string) []byte { return slices.Clone(l.files[path].text) }
 
-// Names are the files whose names begin with prefix.
+// Names returns the sorted names of the files whose cleaned paths begin with prefix.
 func (l *MemoryFileSystem) Names(prefix string) (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(l.files)) {
 		if strings.HasPrefix(filepath.Clean(name), prefix) {
--- a/internal/testkit/contract/place.go
+++ b/internal/testkit/contract/place.go
@@ -10,7 +10,8 @@
 	"fieldrelay/internal/sidecar/store"
 )
 
-// NewMemoryFixture is a place on a Layer, for a store in plain files. later makes a text say that it is of a later format.
+// NewMemoryFixture returns a fixture for a store in plain files, on a MemoryFileSystem. later changes the contents of the file
+// so that they declare a newer format.
 func NewMemoryFixture(seed uint64, open func(l store.FileSystem, path, owner string) (store.Store, store.OpenResult, error), later func([]byte) []byte) StoreFixture {
 	const path = "dir/kept"
 	l := NewMemoryFileSystem(seed)
@@ -41,8 +42,8 @@
 	return p
 }
 
-// NewDiskFixture is a place at a path of the system's. Its processes die in the middle of a batch: what the next one finds is a
-// copy that was taken while that was written.
+// NewDiskFixture returns a fixture for a store at a path of the real file system. A killed process dies during a batch: the
+// next process finds a copy of the file that was taken while the batch was being written.
 func NewDiskFixture(path string, seed uint64, open func(owner string) (store.Store, store.OpenResult, error)) StoreFixture {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	read := func() []byte {
@@ -66,7 +67,7 @@
 				return err
 			}
 			if found.Warning != "" {
-				return errors.New("told: " + found.Warning)
+				return errors.New("opening the store gave a warning: " + found.Warning)
 			}
 			k := &crashingStore{Store: s, left: rng.IntN(5), read: read, spins: rng.IntN(20_000)}
 			if err := work(k); err != nil && !errors.Is(err, errKilled) {
@@ -79,18 +80,18 @@
 				return err
 			}
 			if len(k.copied) > 0 && !write(k.copied) {
-				return errors.New("the copy is not written")
+				return errors.New("cannot write the copy of the store back")
 			}
 			return nil
 		},
 	}
 }
 
-// crashingStore is a store whose process dies in one of its batches.
+// crashingStore is a store whose process dies during one of its batches.
 type crashingStore struct {
 	store.Store
-	left   int // batches before that
-	spins  int // how far into it
+	left   int // number of batches left before the crash
+	spins  int // iterations of busy work between the start of the batch and the copy
 	read   func() []byte
 	copied []byte
 }
@@ -106,7 +107,7 @@
 	var wg sync.WaitGroup
 	var err error
 	wg.Go(func() { err = d.Store.Commit(b) })
-	for i := range d.spins { // work of a drawn length, so that the copy falls anywhere
+	for i := range d.spins { // busy work of random length, so that the copy is taken at any point of the batch
 		if bytes.Count(before[:min(len(before), 64)], []byte{byte(i)}) > 64 {
 			break
 		}
--- a/internal/testkit/contract/source.go
+++ b/internal/testkit/contract/source.go
@@ -13,38 +13,40 @@
 	"go.uber.org/goleak"
 )
 
-// Source follows a list of execute nodes.
+// Source follows the list of execute nodes.
 type Source interface {
-	// Watch asks for the list from now on, in place of an earlier call.
+	// Watch starts to watch the list, in place of an earlier watch.
 	Watch()
-	// Close ends all that it has begun.
+	// Close stops everything that the source started.
 	Close()
 }
 
-// SourceMaker makes sources that follow a list which Discovery plays.
+// SourceMaker makes sources that follow the list of a simulated discovery service.
 type SourceMaker struct {
-	// Begin starts a source that asks at an address; told is called with each list or change as the names it has now, and
-	// lost with each loss. Both are called one after another.
+	// Begin starts a source for the discovery service at an address. The source calls told after each list or change with the
+	// current set of names, and lost whenever it loses its watch; these calls never overlap.
 	Begin func(t T, address string, told func(names map[string]bool), lost func()) (Source, error)
-	// List is the text with which discovery begins a watch, and Change the one by which it tells that name has come or gone.
+	// List returns the text with which discovery begins a watch, and Change the text that says that a name was added (there) or
+	// removed.
 	List   func(names ...string) string
 	Change func(generation int, name string, there bool) string
-	// IdleTimeout is after what time without a sign a watch is lost; Sign is the sign that nothing has changed.
+	// IdleTimeout is the time without data after which a watch is lost; Heartbeat is the text that says that nothing has changed.
 	IdleTimeout time.Duration
 	Heartbeat   string
 }
 
-// SourceClauses are what every source of the list promises.
+// SourceClauses are the requirements on every source of the list.
 var SourceClauses = []Clause[SourceMaker]{
-	{"the list and each change are told in order", sourceOrder},
-	{"a break is told once and the list stays", sourceBreak},
-	{"silence is a break, signs are none", sourceIdleTimeout},
-	{"what cannot be read is a break and changes nothing", sourceMalformed},
-	{"a new call ends the one before unheard", sourceReplaced},
-	{"close ends all that was begun", sourceClose},
+	{"the list and each change are reported in order", sourceOrder},
+	{"a lost watch is reported once and keeps the list", sourceBreak},
+	{"an idle watch is lost, heartbeats keep it", sourceIdleTimeout},
+	{"malformed input ends the watch and changes nothing", sourceMalformed},
+	{"a new watch replaces the earlier one without a report", sourceReplaced},
+	{"close stops everything that was started", sourceClose},
 }
 
-// discovery takes calls, one connection each, and lets the clause write to them.
+// discovery is a simulated discovery service: it accepts watch requests, one on each connection, and leaves the connections to
+// the clause for writing.
 type discovery struct {
 	ln    net.Listener
 	calls chan net.Conn
@@ -73,17 +75,17 @@
 	return d, nil
 }
 
-// close ends the taking of calls.
+// close stops accepting watch requests.
 func (d *discovery) close() { _ = d.ln.Close() }
 
-// call is the next call, answered.
+// call waits for the next watch request, sends the response header and returns its connection.
 func (d *discovery) call() (net.Conn, error) {
 	select {
 	case nc := <-d.calls:
 		_, err := fmt.Fprint(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		return nc, err
 	case <-time.After(waitTimeout):
-		return nil, errors.New("no call came")
+		return nil, errors.New("no watch request arrived at the discovery service")
 	}
 }
 
@@ -92,7 +94,7 @@
 	return err
 }
 
-// notifications is what a source has told.
+// notifications records the calls of told and lost of a source.
 type notifications struct {
 	mu    sync.Mutex
 	lists []string
@@ -126,10 +128,10 @@
 func (h *notifications) String() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return fmt.Sprintf("told %q, %d losses", strings.Join(h.lists, " "), h.lost)
+	return fmt.Sprintf("source reported lists %q and %d losses", strings.Join(h.lists, " "), h.lost)
 }
 
-// begin starts discovery and a source whose first call is answered with a list of a and b.
+// begin starts discovery and a source whose first watch is answered with a list of a and b.
 func (m SourceMaker) begin(t T) (d *discovery, s Source, h *notifications, nc net.Conn, err error) {
 	if d, err = newDiscovery(); err != nil {
 		return nil, nil, nil, nil, err
@@ -149,7 +151,7 @@
 }
 
 func (h *notifications) wait(lists string, lost int) error {
-	if err := until(fmt.Sprintf("%q and %d losses", lists, lost), func() bool { return h.equal(lists, lost) }); err != nil {
+	if err := until(fmt.Sprintf("lists %q and %d losses", lists, lost), func() bool { return h.equal(lists, lost) }); err != nil {
 		return fmt.Errorf("%w, but %s", err, h)
 	}
 	return nil
@@ -204,7 +206,7 @@
 			return err
 		}
 		if !h.equal("ab", 0) {
-			return fmt.Errorf("signs came, but %s", h)
+			return fmt.Errorf("heartbeats were sent, but %s", h)
 		}
 	}
 	from := time.Now()
@@ -212,7 +214,7 @@
 		return err
 	}
 	if took := time.Since(from); took < m.IdleTimeout/2 {
-		return fmt.Errorf("lost after %v, promised after %v", took, m.IdleTimeout)
+		return fmt.Errorf("watch lost after %v without data, expected after %v", took, m.IdleTimeout)
 	}
 	return nil
 }
@@ -227,7 +229,7 @@
 		s.Close()
 		d.close()
 		if err != nil {
-			return fmt.Errorf("after %.20q: %w", text, err)
+			return fmt.Errorf("after the malformed input %.20q: %w", text, err)
 		}
 	}
 	return nil
@@ -245,7 +247,7 @@
 	if err != nil {
 		return err
 	}
-	_ = write(nc, m.Change(2, "a", false)) // whether it can still be written or not
+	_ = write(nc, m.Change(2, "a", false)) // the source may have closed the connection already
 	if err := write(next, m.Change(2, "c", true)); err != nil {
 		return err
 	}
@@ -267,7 +269,7 @@
 		return err
 	}
 	if !h.equal("ab", 0) {
-		return fmt.Errorf("after close: %s", h)
+		return fmt.Errorf("calls after Close: %s", h)
 	}
 	return nil
 }
--- a/internal/testkit/contract/store.go
+++ b/internal/testkit/contract/store.go
@@ -12,56 +12,56 @@
 
 // StoreMaker opens stores.
 type StoreMaker struct {
-	// Begin makes a new place for one store, which the functions below are then given.
+	// Begin returns a fixture for one new store.
 	Begin func(t T, seed uint64) StoreFixture
-	// Most is how many bytes of keys and values a store takes.
+	// Most is the maximum size of a store: bytes of keys and values.
 	Most int
 }
 
-// StoreFixture is where one store is, and what can be done to it.
+// StoreFixture gives access to the stored data of one store.
 type StoreFixture struct {
 	Open func(owner string) (store.Store, store.OpenResult, error)
-	// Kill ends the process that has it open at a point drawn by the place, and comes back once it is dead; work is what the
-	// process does meanwhile, to its end or to the first error. Afterwards the store can be opened again. nil: what is in it
-	// ends with the process, and the clauses on that do not apply.
+	// Kill opens the store in a process that runs work, and kills this process at a point that the fixture draws; it returns
+	// once the process is dead. work runs to its end or to its first error. Afterwards the store can be opened again. nil: the
+	// contents end with the process, and the clauses about crashes do not apply.
 	Kill func(work func(s store.Store) error) error
-	// Corrupt changes the bytes that are kept; false: nothing is kept. nil: they cannot be reached.
+	// Corrupt changes the stored bytes; false: there are none. nil: the stored bytes are not accessible.
 	Corrupt func(change func([]byte) []byte) bool
-	// Bytes are those that are kept.
+	// Bytes returns the stored bytes.
 	Bytes func() []byte
-	// SetNewerFormat has the kept bytes say that they are of a later format. nil: they cannot.
+	// SetNewerFormat makes the stored bytes declare a newer format. nil: not supported.
 	SetNewerFormat func()
-	// DetectsRollback tells that an older copy that is put back must be recognised.
+	// DetectsRollback reports whether the store must detect that an older copy of its data was restored.
 	DetectsRollback bool
 }
 
 const (
 	storeOwner = "fleet/s1"
-	crashes    = 60 // of each place
+	crashes    = 60 // number of crashes of each fixture
 	crashRuns  = 4
 )
 
-// StoreClauses are what every store promises.
+// StoreClauses are the requirements on every store.
 var StoreClauses = []Clause[StoreMaker]{
-	{"a batch is done whole and in order", storeBatches},
-	{"a batch over the bound is refused whole", storeBound},
-	{"what was acknowledged is there after a crash", storeCrashes},
-	{"torn or foreign bytes are one clear line and a blank store", storeTorn},
-	{"a later format is refused untouched", storeLater},
-	{"another owner's store is refused untouched", storeOwners},
-	{"an older copy put back is recognised", storeRollback},
-	{"one process has it at a time", storeBusy},
+	{"a batch is applied completely and in order", storeBatches},
+	{"a batch over the size limit is rejected completely", storeBound},
+	{"acknowledged batches survive a crash", storeCrashes},
+	{"corrupt or foreign data gives one warning line and an empty store", storeTorn},
+	{"a newer format is rejected unchanged", storeLater},
+	{"another owner's store is rejected unchanged", storeOwners},
+	{"a restored older copy is detected", storeRollback},
+	{"one process at a time can open the store", storeBusy},
 }
 
 func open(p StoreFixture) (store.Store, error) {
 	s, found, err := p.Open(storeOwner)
 	if err == nil && found.Warning != "" {
-		err = errors.New("told: " + found.Warning)
+		err = errors.New("opening the store gave a warning: " + found.Warning)
 	}
 	return s, err
 }
 
-// filled opens a store, puts pairs into it and closes it.
+// filled opens a store, commits the pairs of keys and values, and closes the store.
 func filled(p StoreFixture, pairs ...string) error {
 	s, err := open(p)
 	if err != nil {
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = s.Close() }() // Commit has kept what counts
+	defer func() { _ = s.Close() }() // the data was already committed
 	var b store.Batch
 	b.Put("a", []byte("1"))
 	b.Put("e/1", []byte("x"))
@@ -106,25 +106,25 @@
 		return err
 	}
 	if got, err := dump(s); err != nil || got != "a=2 e/2= e/3=z " {
-		return errors.Join(fmt.Errorf("holds %q", got), err)
+		return errors.Join(fmt.Errorf("store holds %q", got), err)
 	}
 	n := 0
 	if err := s.Each("e/", func(string, []byte) error { n++; return nil }); err != nil || n != 2 {
-		return errors.Join(fmt.Errorf("%d keys under e/", n), err)
+		return errors.Join(fmt.Errorf("Each found %d keys under e/, expected 2", n), err)
 	}
 	v, ok := s.Get("a")
 	if !ok || string(v) != "2" {
-		return fmt.Errorf("a is %q, %v", v, ok)
+		return fmt.Errorf("Get of key a returned %q, %v", v, ok)
 	}
 	v[0] = '9'
 	if v, _ := s.Get("a"); string(v) != "2" {
-		return errors.New("what it gave was not a copy")
+		return errors.New("Get returned the stored value itself, not a copy")
 	}
 	if _, ok := s.Get("never"); ok {
-		return errors.New("a key that was never there")
+		return errors.New("Get found a key that was never stored")
 	}
 	if err := put(s, "", "x"); err == nil {
-		return errors.New("took an empty key")
+		return errors.New("Commit accepted an empty key")
 	}
 	return nil
 }
@@ -134,25 +134,26 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = s.Close() }() // Commit has kept what counts
+	defer func() { _ = s.Close() }() // the data was already committed
 	if err := put(s, "a", "1"); err != nil {
 		return err
 	}
 	if err := put(s, "a", "2", "big", string(make([]byte, m.Most))); !errors.Is(err, store.ErrFull) {
-		return errors.Join(errors.New("a batch over the bound was not refused as one"), err)
+		return errors.Join(errors.New("Commit did not reject a batch over the size limit with ErrFull"), err)
 	}
 	if got, _ := dump(s); got != "a=1 " {
-		return fmt.Errorf("holds %q after a batch that was refused", got)
+		return fmt.Errorf("store holds %q after a rejected batch", got)
 	}
-	for i := range 50 { // what was replaced is not counted
+	for i := range 50 { // replaced values do not count towards the size limit
 		if err := put(s, "a", string(make([]byte, m.Most/2)), "b", strconv.Itoa(i)); err != nil {
-			return fmt.Errorf("batch %d within the bound: %w", i, err)
+			return fmt.Errorf("batch %d within the size limit: %w", i, err)
 		}
 	}
 	return nil
 }
 
-// storeCrashes lets processes count two keys up together, kills them at drawn points, and looks at what the next one finds.
+// storeCrashes has processes increment two keys in the same batches, kills them at drawn points, and checks what the next
+// process finds.
 func storeCrashes(t T, m StoreMaker) error {
 	for run := range uint64(crashRuns) {
 		p := m.Begin(t, 100+run)
@@ -178,20 +179,20 @@
 			}
 			s, err := open(p)
 			if err != nil {
-				return fmt.Errorf("after change %d of %d: %w", acked, tried, err)
+				return fmt.Errorf("opening the store after a crash, %d changes acknowledged of %d tried: %w", acked, tried, err)
 			}
 			a, okA := s.Get("a")
 			b, okB := s.Get("b")
 			got, _ := strconv.Atoi(string(a))
 			switch {
 			case string(a) != string(b) || okA != okB:
-				err = fmt.Errorf("half a batch: a is %q, b is %q", a, b)
+				err = fmt.Errorf("batch applied in part: a is %q, b is %q", a, b)
 			case got < acked:
-				err = fmt.Errorf("change %d is there, %d was acknowledged", got, acked)
+				err = fmt.Errorf("store holds change %d, but change %d was acknowledged", got, acked)
 			case got > tried:
-				err = fmt.Errorf("change %d is there, %d was the last one tried", got, tried)
+				err = fmt.Errorf("store holds change %d, but change %d was the last one tried", got, tried)
 			case got < read:
-				err = fmt.Errorf("change %d is there, %d was read before", got, read)
+				err = fmt.Errorf("store holds change %d, but change %d was read earlier", got, read)
 			}
 			acked, tried, read = got, got, got
 			if err := errors.Join(err, s.Close()); err != nil {
@@ -202,7 +203,7 @@
 	return nil
 }
 
-// corruptions are what may happen to kept bytes.
+// corruptions are the changes of stored bytes that a store must withstand, by name.
 var corruptions = map[string]func([]byte) []byte{
 	"cut in the middle":   func(b []byte) []byte { return b[:len(b)/2] },
 	"cut to nothing":      func([]byte) []byte { return nil },
@@ -213,7 +214,7 @@
 	"the end overwritten": func(b []byte) []byte { return append(b[:len(b)*3/4:len(b)*3/4], make([]byte, len(b)-len(b)*3/4)...) },
 }
 
-// flip changes one bit of each place where a text stands.
+// flip changes one bit in each occurrence of a text.
 func flip(b, what []byte) []byte {
 	for at := 0; ; {
 		i := bytes.Index(b[at:], what)
@@ -239,7 +240,7 @@
 			return err
 		}
 		if !p.Corrupt(change) {
-			return errors.New("nothing is kept")
+			return errors.New("the store left no bytes to corrupt")
 		}
 		s, found, err := p.Open(storeOwner)
 		if err != nil {
@@ -249,11 +250,11 @@
 		switch {
 		case err != nil:
 			err = fmt.Errorf("%s: %w", name, err)
-		case got == "a=quite-a-value b=quite-a-value c=quite-a-value " && found.Warning == "": // nothing of it had been lost
+		case got == "a=quite-a-value b=quite-a-value c=quite-a-value " && found.Warning == "": // the change lost no data
 		case got != "":
-			err = fmt.Errorf("%s: half a store: %q", name, got)
+			err = fmt.Errorf("%s: store holds a part of its data: %q", name, got)
 		case !found.Empty || found.Warning == "" || bytes.ContainsRune([]byte(found.Warning), '\n'):
-			err = fmt.Errorf("%s: told %+v", name, found)
+			err = fmt.Errorf("%s: opening the store returned %+v, expected an empty store and a warning of one line", name, found)
 		default:
 			err = put(s, "a", "new")
 		}
@@ -264,17 +265,17 @@
 	return nil
 }
 
-// refused opens a store that must not be had, and looks that nothing of it changed.
+// refused checks that opening a store fails with the wanted error and leaves the stored bytes unchanged.
 func refused(p StoreFixture, owner string, want error) error {
 	before := p.Bytes()
 	if s, _, err := p.Open(owner); !errors.Is(err, want) {
 		if err == nil {
-			return errors.Join(errors.New("opened"), s.Close())
+			return errors.Join(errors.New("a store that must be rejected was opened"), s.Close())
 		}
-		return fmt.Errorf("refused for another reason: %w", err)
+		return fmt.Errorf("store rejected with an unexpected error: %w", err)
 	}
 	if !bytes.Equal(before, p.Bytes()) {
-		return errors.New("it was changed")
+		return errors.New("opening changed the stored bytes of a rejected store")
 	}
 	return nil
 }
@@ -306,9 +307,9 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = s.Close() }() // Commit has kept what counts
+	defer func() { _ = s.Close() }() // the data was already committed
 	if got, err := dump(s); err != nil || got != "a=1 " {
-		return errors.Join(fmt.Errorf("holds %q afterwards", got), err)
+		return errors.Join(fmt.Errorf("store holds %q after another owner tried to open it", got), err)
 	}
 	return nil
 }
@@ -330,9 +331,9 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = s.Close() }() // Commit has kept what counts
+	defer func() { _ = s.Close() }() // the data was already committed
 	if v, ok := s.Get("a"); ok || found.Warning == "" {
-		return fmt.Errorf("the copy's %q was taken, told %q", v, found.Warning)
+		return fmt.Errorf("store accepted the value %q of an older copy, warning %q", v, found.Warning)
 	}
 	return put(s, "a", "4")
 }
@@ -351,9 +352,9 @@
 	}
 	if other, _, err := p.Open(storeOwner); !errors.Is(err, store.ErrBusy) {
 		if err == nil {
-			return errors.Join(errors.New("opened twice"), other.Close())
+			return errors.Join(errors.New("store was opened twice at the same time"), other.Close())
 		}
-		return fmt.Errorf("refused for another reason: %w", err)
+		return fmt.Errorf("store rejected with an unexpected error: %w", err)
 	}
 	if err := s.Close(); err != nil {
 		return err
--- a/internal/testkit/contract/transport.go
+++ b/internal/testkit/contract/transport.go
@@ -14,27 +14,29 @@
 	"fieldrelay/internal/sidecar/relay"
 )
 
-// TransportMaker makes transports to execute nodes, of which a Peer plays one.
+// TransportMaker makes transports to execute nodes; a peer simulates each node.
 type TransportMaker struct {
 	New func(t T) relay.Transport
-	// Request is what a claim with a call id asks; Whole tells how many of the bytes that a peer has read are one, 0: not yet.
+	// Request returns the payload of a claim with a call id. Complete returns the length of the complete request at the start of
+	// the bytes that a peer has read; 0: it is not complete yet.
 	Request  func(callID string) *relay.Payload
 	Complete func(b []byte) int
-	// Answer is a good answer with a body.
+	// Answer returns a valid response with a body.
 	Answer func(body string) string
 }
 
-// TransportClauses are what every transport to execute nodes promises.
+// TransportClauses are the requirements on every transport to execute nodes.
 var TransportClauses = []Clause[TransportMaker]{
-	{"each claim is reported once, as it ended", nodesOutcomes},
-	{"a claim is written once at the most", nodesOnce},
-	{"an answer serves the claim that it was made for alone", nodesOwn},
-	{"a silent node makes no other one wait", nodesUnresponsive},
-	{"nothing new goes to a node that is gone", nodesRemoved},
-	{"close ends all that was begun once the last claim is reported", nodesClose},
+	{"each claim is reported once with its outcome", nodesOutcomes},
+	{"a claim is sent at most once", nodesOnce},
+	{"a response completes only the claim that it answers", nodesOwn},
+	{"an unresponsive node does not delay other nodes", nodesUnresponsive},
+	{"no new request is sent to a removed node", nodesRemoved},
+	{"close stops everything once the last claim is reported", nodesClose},
 }
 
-// peer is an execute node: behave has each request that came whole, and its connection.
+// peer simulates an execute node: it calls behave with the connection of each complete request and the number of requests so
+// far.
 type peer struct {
 	ln       net.Listener
 	mu       sync.Mutex
@@ -100,7 +102,7 @@
 	p.wg.Wait()
 }
 
-// reports are what a transport has reported.
+// reports records the results that a transport reports.
 type reports struct {
 	mu  sync.Mutex
 	all map[relay.AttemptID][]relay.Result
@@ -122,7 +124,7 @@
 
 func claimID(n int) relay.AttemptID { return relay.AttemptID{Request: uint64(n)} }
 
-// claim makes a claim and waits for its report.
+// claim starts a claim and waits for its report.
 func (m TransportMaker) claim(node relay.Server, r *reports, n int, patience time.Duration) (relay.Result, error) {
 	node.Start(relay.Attempt{ID: claimID(n), Payload: m.Request(fmt.Sprintf("c%d", n)), Deadline: time.Now().Add(patience)})
 	err := until(fmt.Sprintf("a report of claim %d", n), func() bool { return len(r.of(claimID(n))) > 0 })
@@ -132,7 +134,7 @@
 	return r.of(claimID(n))[0], nil
 }
 
-// open opens the node of a peer.
+// open starts a peer and opens its node on a new transport.
 func (m TransportMaker) open(t T, behave func(net.Conn, int)) (*peer, relay.Server, *reports, error) {
 	p, err := newPeer(m, behave)
 	if err != nil {
@@ -142,7 +144,7 @@
 	return p, m.New(t).Open(relay.Member{Name: "n", Addr: p.ln.Addr().String(), ListedAt: time.Now()}, r.add), r, nil
 }
 
-// send writes what a node answers. The transport may have ended the connection.
+// send writes the response of a node. It ignores errors, since the transport may have closed the connection.
 func send(nc net.Conn, text string) { _, _ = io.WriteString(nc, text) }
 
 func sendAndClose(nc net.Conn, text string) {
@@ -168,7 +170,7 @@
 		}
 		res, err := m.claim(node, r, 1, 300*time.Millisecond)
 		if err == nil {
-			err = fmt.Errorf("outcome %d", res.Outcome)
+			err = fmt.Errorf("unexpected outcome %d", res.Outcome)
 			for _, w := range c.want {
 				if res.Outcome == w {
 					err = nil
@@ -176,13 +178,13 @@
 			}
 		}
 		if err == nil && res.Outcome == logic.Done && string(res.Body) != "hi" {
-			err = fmt.Errorf("body %q", res.Body)
+			err = fmt.Errorf("unexpected body %q of the response", res.Body)
 		}
-		node.Cancel(claimID(1)) // of one that has been reported: nothing comes of it
+		node.Cancel(claimID(1)) // canceling a claim that was reported has no effect
 		node.Close()
 		p.close()
 		if err == nil && len(r.of(claimID(1))) != 1 {
-			err = fmt.Errorf("%d reports", len(r.of(claimID(1))))
+			err = fmt.Errorf("claim was reported %d times, expected once", len(r.of(claimID(1))))
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
@@ -200,13 +202,13 @@
 	node := m.New(t).Open(relay.Member{Addr: address, ListedAt: time.Now()}, r.add)
 	defer node.Close()
 	if res, err := m.claim(node, r, 1, waitTimeout/10); err != nil || res.Outcome != logic.Refused {
-		return errors.Join(fmt.Errorf("nobody there: outcome %d", res.Outcome), err)
+		return errors.Join(fmt.Errorf("no listener at the address: outcome %d", res.Outcome), err)
 	}
 	return nil
 }
 
 func nodesOnce(t T, m TransportMaker) error {
-	// The node breaks each kept connection under the next request, which must not be written again.
+	// The node closes each kept-alive connection on its next request, which must not be sent again.
 	p, node, r, err := m.open(t, func(nc net.Conn, n int) {
 		if n%2 == 1 {
 			send(nc, m.Answer("hi"))
@@ -224,14 +226,14 @@
 			return err
 		}
 		if p.count() > n {
-			return fmt.Errorf("%d requests came of %d claims", p.count(), n)
+			return fmt.Errorf("node received %d requests for %d claims", p.count(), n)
 		}
 	}
 	return nil
 }
 
 func nodesOwn(t T, m TransportMaker) error {
-	// Behind its first answer the node sends another one at once: it must not serve the next claim.
+	// The node sends a second response directly after its first one. It must not complete the next claim.
 	p, node, r, err := m.open(t, func(nc net.Conn, n int) {
 		send(nc, m.Answer(fmt.Sprint(n)))
 		if n == 1 {
@@ -249,7 +251,7 @@
 			return err
 		}
 		if res.Outcome == logic.Done && string(res.Body) == "stray" {
-			return fmt.Errorf("claim %d was served with what was not made for it", n)
+			return fmt.Errorf("claim %d was completed by a response to another claim", n)
 		}
 	}
 	return nil
@@ -277,13 +279,13 @@
 		a.Start(relay.Attempt{ID: claimID(n), Payload: m.Request("s"), Deadline: time.Now().Add(time.Second)})
 	}
 	if res, err := m.claim(b, r, 1, waitTimeout); err != nil || res.Outcome != logic.Done {
-		return errors.Join(fmt.Errorf("beside a silent node: outcome %d", res.Outcome), err)
+		return errors.Join(fmt.Errorf("claim of another node while one does not respond: outcome %d", res.Outcome), err)
 	}
 	if took := time.Since(from); took > 900*time.Millisecond {
-		return fmt.Errorf("it waited %v for a silent node", took)
+		return fmt.Errorf("claim of another node took %v while one does not respond", took)
 	}
 	for n := 100; n < 104; n++ {
-		if err := until("the silent node's claims are reported", func() bool { return len(r.of(claimID(n))) == 1 }); err != nil {
+		if err := until("reports of the claims of the unresponsive node", func() bool { return len(r.of(claimID(n))) == 1 }); err != nil {
 			return err
 		}
 	}
@@ -308,7 +310,7 @@
 		return err
 	}
 	if p.count() != 1 || res.Outcome != logic.Skipped && res.Outcome != logic.Refused {
-		return fmt.Errorf("%d requests came, outcome %d", p.count(), res.Outcome)
+		return fmt.Errorf("removed node received %d requests, outcome %d", p.count(), res.Outcome)
 	}
 	return nil
 }
@@ -327,12 +329,12 @@
 		return err
 	}
 	node.Start(relay.Attempt{ID: claimID(2), Payload: m.Request("c2"), Deadline: time.Now().Add(200 * time.Millisecond)})
-	if err := until("the second request", func() bool { return p.count() == 2 }); err != nil {
+	if err := until("arrival of the second request", func() bool { return p.count() == 2 }); err != nil {
 		return err
 	}
 	node.Close()
 	if err := until("a report after close", func() bool { return len(r.of(claimID(2))) == 1 }); err != nil {
-		return errors.Join(errors.New("what was out is lost"), err)
+		return errors.Join(errors.New("the report of a pending claim is lost"), err)
 	}
 	p.close()
 	return goleak.Find(before)
