--- a/internal/testkit/callers/call.go
+++ b/internal/testkit/callers/call.go
@@ -7,12 +7,12 @@
 	"fieldrelay/internal/testkit/history"
 )
 
-// caller makes one call at a time.
+// caller is one simulated application, which makes one call at a time.
 type caller struct {
 	all  *Callers
 	name string
 	pace time.Duration
-	turn int // which machine it asks
+	turn int // selects the machine that the caller asks
 }
 
 func (c *Callers) newCaller(name string) *caller {
@@ -24,7 +24,7 @@
 	}
 }
 
-// runAfter goes on after a while, unless the callers have stopped.
+// runAfter runs next after a random delay of less than most, unless the callers have stopped by then.
 func (c *caller) runAfter(most time.Duration, next func()) {
 	c.all.env.After(time.Duration(c.all.random.Float64()*float64(most)), func() {
 		if !c.all.stopped {
@@ -33,7 +33,7 @@
 	})
 }
 
-// attempt is a call on its way.
+// attempt is a call in progress.
 type attempt struct {
 	caller *caller
 	call   *history.Call
@@ -41,7 +41,8 @@
 	then   func(*history.Call)
 }
 
-// call makes a call and goes on with its outcome. After one without a clear answer or a refusal it turns to another machine.
+// call makes a call and passes it with its outcome to then. After a refusal or a call without a clear answer, the caller turns to
+// another machine.
 func (c *caller) call(wanted history.Call, then func(*history.Call)) {
 	wanted.Caller = c.name
 	wanted.Sent = c.all.env.Now()
@@ -61,7 +62,7 @@
 	})
 }
 
-// answered takes a result where the call was sent; nil: there will be none.
+// answered records the result of a call in the history; nil: no result will arrive.
 func (a *attempt) answered(result *pb.CoordinationResult) {
 	if a.done {
 		return
@@ -90,7 +91,7 @@
 	a.then(a.call)
 }
 
-// isOpen reports whether a call had neither a clear answer nor an effect that is known.
+// isOpen reports whether a call was refused or had no clear answer, so that it may have to be made again.
 func isOpen(call *history.Call) bool {
 	return call.Outcome == history.Unclear || call.Outcome == history.Refused
 }
--- a/internal/testkit/callers/callers.go
+++ b/internal/testkit/callers/callers.go
@@ -1,5 +1,5 @@
-// Package callers plays the applications that call the coordination service in a simulated world, and records the history
-// of their calls for package history. Everything that they do is drawn from the random numbers that they are given.
+// Package callers simulates applications that call the coordination service, and records the history of their calls for package
+// history. All their decisions are drawn from the random number generator that they are given.
 package callers
 
 import (
@@ -11,21 +11,21 @@
 	"fieldrelay/internal/testkit/history"
 )
 
-// How callers behave.
+// Timing and choices of the callers.
 const (
-	// Timeout is for how long a caller waits for an answer.
+	// Timeout is the time that a caller waits for an answer.
 	Timeout = time.Second
-	// FinalCallDelay is between the last calls and those by which callers find out what was kept.
+	// FinalCallDelay is the time between the last regular calls and the final calls, which read the state that was kept.
 	FinalCallDelay = Timeout
-	// putAgainFor is for how long a put without a clear answer is sent again.
+	// putAgainFor is the time for which a put without a clear answer is sent again.
 	putAgainFor = 3 * time.Second
-	// turns bounds the machine that a caller asks first.
+	// turns is the exclusive upper bound of the turn with which a caller starts.
 	turns = 16
-	// freshKeyInterval is how long a fresh key is in use: its group is one that was never written before.
+	// freshKeyInterval is the time for which a fresh key is in use. Its group is one that was never written before.
 	freshKeyInterval = 500 * time.Millisecond
 )
 
-// Names that callers use.
+// Names of the locks, counters, keys and groups that callers use.
 var (
 	lockNames    = []string{"l1", "l2"}
 	counterNames = []string{"n1", "n2"}
@@ -33,18 +33,18 @@
 	groupNames   = []string{"g.", "h."}
 )
 
-// Environment is what the callers live in.
+// Environment is the simulated clock and network of the callers.
 type Environment interface {
-	// Now is the present time.
+	// Now returns the current time.
 	Now() time.Duration
-	// After has something happen later.
+	// After runs an action after a delay.
 	After(delay time.Duration, action func())
-	// Submit carries a call to the machine whose turn it is, and its result back. The result is nil where a machine is known
-	// not to answer; there may be none at all. Once canceled, a call that has not arrived never arrives.
+	// Submit sends a call to the machine that turn selects, and passes its result to answer. The result is nil if the machine is known
+	// not to answer; answer may never be called. A call that has not arrived when it is canceled never arrives.
 	Submit(turn int, call *pb.CoordinationCall, answer func(*pb.CoordinationResult)) (cancel func())
 }
 
-// Callers are the applications of a run.
+// Callers are the simulated applications of a run.
 type Callers struct {
 	env      Environment
 	random   *rand.Rand
@@ -53,7 +53,7 @@
 	calls    []*history.Call
 }
 
-// Start has callers of all kinds begin.
+// Start starts callers of all kinds.
 func Start(world Environment, random *rand.Rand) *Callers {
 	all := &Callers{env: world, random: random}
 	for number := range 4 {
@@ -77,10 +77,10 @@
 	return all
 }
 
-// Stop has no caller begin another call.
+// Stop keeps the callers from beginning regular calls.
 func (c *Callers) Stop() { c.stopped = true }
 
-// History is all calls so far.
+// History returns all calls so far.
 func (c *Callers) History() []history.Call {
 	calls := make([]history.Call, 0, len(c.calls))
 	for _, call := range c.calls {
--- a/internal/testkit/callers/final.go
+++ b/internal/testkit/callers/final.go
@@ -7,7 +7,7 @@
 	"fieldrelay/internal/testkit/history"
 )
 
-// StartFinalCalls finds out what was kept.
+// StartFinalCalls starts calls that read the state of all locks, counters, keys and watched groups, each until it is answered.
 func (c *Callers) StartFinalCalls() {
 	for _, name := range lockNames {
 		c.newCaller("final " + name).callUntilAnswered(history.Call{Kind: history.Acquire, Name: name, Hold: time.Second, Final: true})
@@ -27,7 +27,8 @@
 	}
 }
 
-// StartProbes makes calls of some kinds, each until it is answered and then reported; it returns how many kinds there are.
+// StartProbes makes one call of each of several kinds, repeats it until it is answered, and then reports its kind to served. It
+// returns the number of kinds.
 func (c *Callers) StartProbes(served func(history.Kind)) int {
 	probes := []history.Call{
 		{Kind: history.Acquire, Name: lockNames[0], Hold: time.Second},
@@ -41,7 +42,7 @@
 	return len(probes)
 }
 
-// probe makes a call again and again until a machine answers it, if only that another caller holds the lock.
+// probe repeats a call until a machine answers it, even if the answer is that another caller holds the lock.
 func (c *caller) probe(wanted history.Call, served func(history.Kind)) {
 	c.call(wanted, func(call *history.Call) {
 		if isOpen(call) {
@@ -52,7 +53,7 @@
 	})
 }
 
-// callUntilAnswered makes a call again and again until it is answered.
+// callUntilAnswered repeats a call until it is answered and, for a lock, granted.
 func (c *caller) callUntilAnswered(wanted history.Call) {
 	c.call(wanted, func(call *history.Call) {
 		switch call.Outcome {
--- a/internal/testkit/callers/keys.go
+++ b/internal/testkit/callers/keys.go
@@ -13,7 +13,7 @@
 	})
 }
 
-// someKey is one of the keys that are used all the time, or the fresh one.
+// someKey returns one of the permanent keys, or the current fresh key.
 func (c *caller) someKey() string {
 	if c.all.chance(0.2) {
 		return fmt.Sprintf("fresh%d.a", c.all.env.Now()/freshKeyInterval)
@@ -27,7 +27,7 @@
 	})
 }
 
-// watcher resumes from the revision that it was given last.
+// watcher watches a group and resumes from the last revision that it received.
 type watcher struct {
 	*caller
 	group string
@@ -46,10 +46,10 @@
 	})
 }
 
-// putter writes keys, with a condition or without one, and sends again what had no clear answer.
+// putter writes keys, with or without an expected revision, and repeats calls without a clear answer.
 type putter struct {
 	*caller
-	known  map[string]uint64 // by key
+	known  map[string]uint64 // last known revision of each key
 	values int
 }
 
--- a/internal/testkit/callers/locker.go
+++ b/internal/testkit/callers/locker.go
@@ -6,7 +6,7 @@
 	"fieldrelay/internal/testkit/history"
 )
 
-// locker holds locks: briefly or long, and some time it dies while it holds, or sleeps past its time.
+// locker holds locks for a short or a long time. It sometimes crashes while it holds a lock, or sleeps past the expiry of the lock.
 type locker struct {
 	*caller
 	lock  string
@@ -25,7 +25,7 @@
 	l.acquire(l.usePlan)
 }
 
-// acquire asks for the lock, which it may hold already.
+// acquire requests the lock, which the caller may hold already.
 func (l *locker) acquire(then func()) {
 	l.call(history.Call{Kind: history.Acquire, Name: l.lock, Hold: l.drawHold()}, func(call *history.Call) {
 		l.granted(call, then)
@@ -38,7 +38,8 @@
 	})
 }
 
-// granted goes on if the caller holds the lock, and gives it up otherwise.
+// granted runs then if the caller holds the lock. It repeats a renewal without a clear answer until the lock expires, and
+// otherwise gives the lock up.
 func (l *locker) granted(call *history.Call, then func()) {
 	isHolder := call.Outcome == history.OK && call.Answered < call.Sent+call.Hold
 	if call.Kind == history.Renew {
@@ -56,24 +57,24 @@
 	}
 }
 
-// usePlan draws what the holder does.
+// usePlan draws what the holder does with the lock.
 func (l *locker) usePlan() {
 	switch l.all.random.IntN(6) {
 	case 0, 1:
 		l.runAfter(l.left(), l.release)
 	case 2, 3:
 		l.keep(l.all.env.Now() + l.all.between(500*time.Millisecond, 5000*time.Millisecond))
-	case 4: // it dies, and starts again
+	case 4: // the caller crashes and restarts
 		l.all.env.After(l.all.between(50*time.Millisecond, 4000*time.Millisecond), l.rest)
 	case 5:
 		l.all.env.After(l.left()+l.all.between(0, 1500*time.Millisecond), l.wakeLate)
 	}
 }
 
-// left is how much longer the caller holds the lock.
+// left returns the time for which the caller still holds the lock.
 func (l *locker) left() time.Duration { return max(l.until-l.all.env.Now(), 0) }
 
-// keep holds the lock for long.
+// keep renews the lock until end, and then releases it. Some renewals are made with another acquire call.
 func (l *locker) keep(end time.Duration) {
 	if l.all.env.Now() >= end {
 		l.release()
@@ -89,7 +90,7 @@
 	})
 }
 
-// wakeLate uses a fence after its time.
+// wakeLate releases or renews the lock with a fence that may have expired.
 func (l *locker) wakeLate() {
 	if l.all.chance(0.5) {
 		l.release()
--- a/internal/testkit/callers/request.go
+++ b/internal/testkit/callers/request.go
@@ -9,7 +9,7 @@
 
 const watchWait = 800 * time.Millisecond
 
-// requestOf is a call as the machines take it.
+// requestOf converts a call to the request message of the service.
 func requestOf(call history.Call) *pb.CoordinationCall {
 	request := &pb.CoordinationCall{}
 	holdMs := uint32(call.Hold.Milliseconds())
