--- a/internal/testkit/digesttest/digest.go
+++ b/internal/testkit/digesttest/digest.go
@@ -1,6 +1,6 @@
-// Package digesttest makes digests of seeded runs for tests, so that a change of behaviour is found, and roughly when in
-// the run it begins. The test says what enters a digest: labels that are written in it, numbers, texts and encoded bytes;
-// never a Go name. It is for tests only.
+// Package digesttest computes digests of seeded runs for tests, to detect a change of behavior and roughly when in the
+// run it begins. The test chooses the input of a digest: labels written in the test, numbers, texts and encoded bytes, but never a Go name.
+// The package is for tests only.
 package digesttest
 
 import (
@@ -21,28 +21,28 @@
 	"fieldrelay/internal/testkit/recordedtest"
 )
 
-// shortDigest is how many hexadecimal digits of a part's digest are kept.
+// shortDigest is the number of hexadecimal digits that are kept of the digest of an interval.
 const shortDigest = 16
 
-// Recorder makes a digest of what a run does, in order, for each part of its time and for the whole.
+// Recorder computes digests of the events of a run, in order: one for each interval of its time and one for the whole run.
 type Recorder struct {
 	interval time.Duration
-	now      int64 // the current part
+	now      int64 // index of the current interval
 	begun    bool
-	counts   map[string]int // entries of the part by label
-	labels   []string       // of the part, in the order of their first entry
+	counts   map[string]int // number of entries of the current interval by label
+	labels   []string       // labels of the current interval, in the order of their first entry
 	entries  int
-	one      hash.Hash // of the part
-	all      hash.Hash
+	one      hash.Hash // digest of the current interval
+	all      hash.Hash // digest of the whole run
 	lines    []string
 }
 
-// New returns a recorder that makes a digest for each part of the given duration.
+// New returns a recorder that computes a digest for each interval of the given duration.
 func New(part time.Duration) *Recorder {
 	return &Recorder{interval: part, counts: make(map[string]int), one: sha256.New(), all: sha256.New()}
 }
 
-// Entry begins an entry: something of the labeled kind happened at a time.
+// Entry begins an entry: an event of the labeled kind occurred at a time.
 func (r *Recorder) Entry(at time.Duration, label string) *Recorder {
 	if now := int64(at / r.interval); !r.begun || now != r.now {
 		r.endInterval()
@@ -80,13 +80,13 @@
 	return r
 }
 
-// Time adds a time or a span to the entry.
+// Time adds a time or a duration to the entry.
 func (r *Recorder) Time(value time.Duration) *Recorder { return r.Number(uint64(value)) }
 
-// Float adds the bits of a number to the entry.
+// Float adds the IEEE 754 bits of a floating-point number to the entry.
 func (r *Recorder) Float(value float64) *Recorder { return r.Number(math.Float64bits(value)) }
 
-// Flag adds a truth value to the entry.
+// Flag adds a boolean to the entry.
 func (r *Recorder) Flag(value bool) *Recorder {
 	if value {
 		return r.Number(1)
@@ -94,17 +94,17 @@
 	return r.Number(0)
 }
 
-// Bytes adds bytes and their number to the entry.
+// Bytes adds a byte slice and its length to the entry.
 func (r *Recorder) Bytes(value []byte) *Recorder {
 	r.Number(uint64(len(value)))
 	r.write(value)
 	return r
 }
 
-// Text adds a text to the entry.
+// Text adds a string to the entry.
 func (r *Recorder) Text(value string) *Recorder { return r.Bytes([]byte(value)) }
 
-// Message adds the encoded bytes of a message to the entry, and whether there is one.
+// Message adds the encoded bytes of a message to the entry, and whether the message is valid (not nil).
 func (r *Recorder) Message(message proto.Message) *Recorder {
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
@@ -113,18 +113,18 @@
 	return r.Flag(message.ProtoReflect().IsValid()).Bytes(encoded)
 }
 
-// String ends the run and gives its digests: a line for each part of its time, and one for all.
+// String ends the run and returns its digests: one line for each interval of its time, and one for the whole run.
 func (r *Recorder) String() string {
 	r.endInterval()
 	r.begun = false
 	return fmt.Sprintf("%s\nall %s of %d\n", strings.Join(r.lines, "\n"), hex.EncodeToString(r.all.Sum(nil)), r.entries)
 }
 
-// Compare plays a run twice. It fails if the digests of the two differ, or differ from those that are recorded under the
-// run's name in testdata: the behavior has changed. With update it records them.
+// Compare executes a run twice. It fails if the digests of the two executions differ, or differ from those recorded under the run's
+// name in testdata, which means that the behavior has changed. With update it records the digests.
 func Compare(t *testing.T, name string, update bool, play func() *Recorder) {
 	t.Helper()
 	first := play().String()
-	require.Equal(t, first, play().String(), "the same run gives other digests the second time")
+	require.Equal(t, first, play().String(), "the second execution of the same run gave different digests")
 	recordedtest.Compare(t, update, filepath.Join("testdata", "digests", name+".txt"), first)
 }
