--- a/internal/testkit/recordedtest/recordedtest.go
+++ b/internal/testkit/recordedtest/recordedtest.go
@@ -1,5 +1,5 @@
-// Package recordedtest compares what the programs show outside with recorded copies, for tests only. Nothing that it
-// writes depends on names within the source.
+// Package recordedtest compares the external interface of programs with recorded copies, for tests only. None of its output depends
+// on names in the source code.
 package recordedtest
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Compare fails on any difference between a text and its recorded copy. With update it writes the copy.
+// Compare fails if a text differs from its recorded copy. With update it writes the copy.
 func Compare(t *testing.T, update bool, path, text string) {
 	t.Helper()
 	require.NotEmpty(t, text)
@@ -26,10 +26,10 @@
 	}
 	recorded, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.Equal(t, string(recorded), text, "run the test with -update only where the change is meant")
+	require.Equal(t, string(recorded), text, "text differs from its recorded copy; run the test with -update only if the change is intended")
 }
 
-// Commands describes a command line: commands, arguments and flags, without the help texts.
+// Commands describes the commands, arguments and flags of a command line, without the help texts.
 func Commands(model *kong.Application) string {
 	var lines []string
 	addCommands(&lines, model.Node)
@@ -72,13 +72,13 @@
 		value.Required, value.Enum, value.Tag.Type)
 }
 
-// Key is a key of a file, such as "classes[].name".
+// Key is a key of a configuration file, such as "classes[].name".
 type Key struct {
 	Path string
 	Kind reflect.Kind
 }
 
-// Keys gives the keys of a type by its struct tags, sorted.
+// Keys returns the keys of a type according to its struct tags, sorted by path.
 func Keys(of reflect.Type, tag string) []Key {
 	var keys []Key
 	addKeys(&keys, of, tag, "")
@@ -108,7 +108,7 @@
 	}
 }
 
-// Values writes a line "key = value" for each value, sorted.
+// Values returns a line "key = value" for each value, sorted.
 func Values(value reflect.Value, tag string) string {
 	var lines []string
 	addValues(&lines, value, tag, "")
