--- a/internal/testkit/contract/layer.go
+++ b/internal/testkit/contract/layer.go
@@ -19,8 +19,8 @@
 var errSpace = errors.New("contract: no space left on device")
 
 // MemoryFileSystem is an in-memory file system that simulates crashes. Only synced data is sure to survive Crash: unsynced
-// data is truncated, has a bit flipped or is mixed with older blocks, as drawn from the seed. It can end the process at any
-// operation and can run out of space.
+// data may be kept, lost, truncated, have a bit flipped or be mixed with older blocks, as drawn from the seed. The file system
+// can end the process at any operation and can run out of space.
 type MemoryFileSystem struct {
 	rng         *rand.Rand
 	files       map[string]file // current files, as the process sees them
--- a/internal/testkit/digesttest/digest.go
+++ b/internal/testkit/digesttest/digest.go
@@ -1,6 +1,6 @@
 // Package digesttest computes digests of seeded runs for tests, to detect a change of behavior and roughly when in the
-// run it begins. The test chooses the input of a digest: labels written in the test, numbers, texts and encoded bytes, but never a Go name.
-// The package is for tests only.
+// run it begins. The test chooses the input of a digest: labels written in the test, numbers, texts and encoded bytes,
+// but never a Go name. The package is for tests only.
 package digesttest
 
 import (
