--- a/internal/region/controlsim/callers_test.go
+++ b/internal/region/controlsim/callers_test.go
@@ -47,13 +47,13 @@
 	w.callers.applications = callers.Start(w.callers, w.callers.random)
 }
 
-// Now implements callers.World.
+// Now implements callers.Environment.
 func (c *callerWorld) Now() time.Duration { return c.world.now }
 
-// After implements callers.World.
+// After implements callers.Environment.
 func (c *callerWorld) After(delay time.Duration, action func()) { c.world.after(delay, action) }
 
-// Submit implements callers.World.
+// Submit implements callers.Environment.
 func (c *callerWorld) Submit(turn int, call *pb.CoordinationCall, answer func(*pb.CoordinationResult)) func() {
 	isCanceled := false
 	cancel := func() {}
--- a/internal/region/coordination/simulatedtransport_test.go
+++ b/internal/region/coordination/simulatedtransport_test.go
@@ -6,13 +6,13 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Now implements callers.World.
+// Now implements callers.Environment.
 func (s *simulation) Now() time.Duration { return s.now }
 
-// After implements callers.World.
+// After implements callers.Environment.
 func (s *simulation) After(delay time.Duration, action func()) { s.after(delay, action) }
 
-// Submit implements callers.World.
+// Submit implements callers.Environment.
 func (s *simulation) Submit(turn int, call *pb.CoordinationCall, answer func(*pb.CoordinationResult)) func() {
 	isCanceled := false
 	cancel := func() {}
