--- a/internal/region/controlsim/callers_test.go
+++ b/internal/region/controlsim/callers_test.go
@@ -47,13 +47,13 @@
 	w.callers.applications = callers.Start(w.callers, w.callers.random)
 }
 
-// Now implements callers.World.
+// Now implements callers.Environment.
 func (c *callerWorld) Now() time.Duration { return c.world.now }
 
-// After implements callers.World.
+// After implements callers.Environment.
 func (c *callerWorld) After(delay time.Duration, action func()) { c.world.after(delay, action) }
 
-// Submit implements callers.World.
+// Submit implements callers.Environment.
 func (c *callerWorld) Submit(turn int, call *pb.CoordinationCall, answer func(*pb.CoordinationResult)) func() {
 	isCanceled := false
 	cancel := func() {}
@@ -126,7 +126,7 @@
 	w.callers.checkRecovery()
 	w.run(callSettleDuration)
 	w.callers.applications.Stop()
-	w.run(callers.FinalPause)
+	w.run(callers.FinalCallDelay)
 	w.callers.applications.StartFinalCalls()
 	w.run(finalCallsDuration)
 	verdict := history.Check(w.callers.applications.History(), history.Options{Retention: callRetention})
--- a/internal/testkit/callers/call.go
+++ b/internal/testkit/callers/call.go
@@ -7,12 +7,12 @@
 	"fieldrelay/internal/testkit/history"
 )
 
-// caller makes one call at a time.
+// caller is one simulated application, which makes one call at a time.
 type caller struct {
 	all  *Callers
 	name string
 	pace time.Duration
-	turn int // which machine it asks
+	turn int // selects the machine that the caller asks
 }
 
 func (c *Callers) newCaller(name string) *caller {
@@ -24,16 +24,16 @@
 	}
 }
 
-// pause goes on after a while, unless the callers have stopped.
-func (c *caller) pause(most time.Duration, next func()) {
-	c.all.world.After(time.Duration(c.all.random.Float64()*float64(most)), func() {
+// runAfter runs next after a random delay of less than most, unless the callers have stopped by then.
+func (c *caller) runAfter(most time.Duration, next func()) {
+	c.all.env.After(time.Duration(c.all.random.Float64()*float64(most)), func() {
 		if !c.all.stopped {
 			next()
 		}
 	})
 }
 
-// attempt is a call on its way.
+// attempt is a call in progress.
 type attempt struct {
 	caller *caller
 	call   *history.Call
@@ -41,10 +41,11 @@
 	then   func(*history.Call)
 }
 
-// call makes a call and goes on with its outcome. After one without a clear answer or a refusal it turns to another machine.
+// call makes a call and passes it with its outcome to then. After a refusal or a call without a clear answer, the caller turns to
+// another machine.
 func (c *caller) call(wanted history.Call, then func(*history.Call)) {
 	wanted.Caller = c.name
-	wanted.Sent = c.all.world.Now()
+	wanted.Sent = c.all.env.Now()
 	started := &attempt{caller: c, call: &wanted, then: then}
 	c.all.calls = append(c.all.calls, started.call)
 	timeout := Timeout
@@ -52,8 +53,8 @@
 	if watch := request.GetWatch(); watch != nil {
 		timeout += time.Duration(watch.GetWaitMs()) * time.Millisecond
 	}
-	cancel := c.all.world.Submit(c.turn, request, started.answered)
-	c.all.world.After(timeout, func() {
+	cancel := c.all.env.Submit(c.turn, request, started.answered)
+	c.all.env.After(timeout, func() {
 		if !started.done {
 			cancel()
 			started.finish(history.Unclear)
@@ -61,7 +62,7 @@
 	})
 }
 
-// answered takes a result where the call was sent; nil: there will be none.
+// answered records the result of a call in the history; nil: no result will arrive.
 func (a *attempt) answered(result *pb.CoordinationResult) {
 	if a.done {
 		return
@@ -83,14 +84,14 @@
 func (a *attempt) finish(outcome history.Outcome) {
 	a.done = true
 	a.call.Outcome = outcome
-	a.call.Answered = a.caller.all.world.Now()
+	a.call.Answered = a.caller.all.env.Now()
 	if isOpen(a.call) {
 		a.caller.turn++
 	}
 	a.then(a.call)
 }
 
-// isOpen reports whether a call had neither a clear answer nor an effect that is known.
+// isOpen reports whether a call was refused or had no clear answer, so that it may have to be made again.
 func isOpen(call *history.Call) bool {
 	return call.Outcome == history.Unclear || call.Outcome == history.Refused
 }
--- a/internal/testkit/callers/keys.go
+++ b/internal/testkit/callers/keys.go
@@ -9,25 +9,25 @@
 
 func (c *caller) takeNumbers() {
 	c.call(history.Call{Kind: history.Number, Name: pick(c.all.random, counterNames)}, func(*history.Call) {
-		c.pause(c.pace, c.takeNumbers)
+		c.runAfter(c.pace, c.takeNumbers)
 	})
 }
 
-// someKey is one of the keys that are used all the time, or the fresh one.
+// someKey returns one of the permanent keys, or the current fresh key.
 func (c *caller) someKey() string {
 	if c.all.chance(0.2) {
-		return fmt.Sprintf("fresh%d.a", c.all.world.Now()/freshKeyInterval)
+		return fmt.Sprintf("fresh%d.a", c.all.env.Now()/freshKeyInterval)
 	}
 	return pick(c.all.random, keyNames)
 }
 
 func (c *caller) readKeys() {
 	c.call(history.Call{Kind: history.Read, Name: c.someKey()}, func(*history.Call) {
-		c.pause(c.pace, c.readKeys)
+		c.runAfter(c.pace, c.readKeys)
 	})
 }
 
-// watcher resumes from the revision that it was given last.
+// watcher watches a group and resumes from the last revision that it received.
 type watcher struct {
 	*caller
 	group string
@@ -42,18 +42,18 @@
 		case history.Compacted:
 			w.after = 0
 		}
-		w.pause(w.pace, w.watch)
+		w.runAfter(w.pace, w.watch)
 	})
 }
 
-// putter writes keys, with a condition or without one, and sends again what had no clear answer.
+// putter writes keys, with or without an expected revision, and repeats calls without a clear answer.
 type putter struct {
 	*caller
-	known  map[string]uint64 // by key
+	known  map[string]uint64 // last known revision of each key
 	values int
 }
 
-func (p *putter) rest() { p.pause(p.pace, p.begin) }
+func (p *putter) rest() { p.runAfter(p.pace, p.begin) }
 
 func (p *putter) begin() {
 	p.values++
@@ -65,14 +65,14 @@
 		}
 		put.Expected = &expected
 	}
-	p.send(put, p.all.world.Now()+putAgainFor)
+	p.send(put, p.all.env.Now()+putAgainFor)
 }
 
 func (p *putter) send(put history.Call, until time.Duration) {
 	p.call(put, func(call *history.Call) {
 		switch {
 		case isOpen(call) && call.Answered < until:
-			p.pause(50*time.Millisecond, func() { p.send(put, until) })
+			p.runAfter(50*time.Millisecond, func() { p.send(put, until) })
 			return
 		case call.Outcome == history.OK || call.Outcome == history.Mismatch:
 			p.known[put.Name] = call.Revision
--- a/internal/testkit/contract/layer.go
+++ b/internal/testkit/contract/layer.go
@@ -12,39 +12,40 @@
 	"fieldrelay/internal/sidecar/store"
 )
 
-// errKilled is what a layer gives once the process on it is dead.
+// errKilled is the error of every file operation once the process is dead.
 var errKilled = errors.New("contract: the process is dead")
 
-// errSpace is a disk that is full.
+// errSpace is the error of a write to a full disk.
 var errSpace = errors.New("contract: no space left on device")
 
-// Layer is files in memory, of which only what was synced is sure to be there after Crash: the rest is torn, cut, flipped or
-// put in another order, as the seed draws. It can end the process at any operation and fill up.
-type Layer struct {
+// MemoryFileSystem is an in-memory file system that simulates crashes. Only synced data is sure to survive Crash: unsynced
+// data may be kept, lost, truncated, have a bit flipped or be mixed with older blocks, as drawn from the seed. The file system
+// can end the process at any operation and can run out of space.
+type MemoryFileSystem struct {
 	rng         *rand.Rand
-	files       map[string]file // as the process sees them
-	durable     map[string]file // names as they were when their folder was last synced
-	locks       map[string]int  // by life
-	incarnation int             // of the process
-	Ops         int             // done so far
-	KillAt      int             // operation at which the process ends; 0: none
-	Space       int             // bytes that may be in files; 0: no bound
-	moved       []move          // renames since the folder was synced, in order
+	files       map[string]file // current files, as the process sees them
+	durable     map[string]file // files under the names of the last SyncDir
+	locks       map[string]int  // incarnation that holds each lock, plus one
+	incarnation int             // number of crashes and kills so far
+	Ops         int             // number of operations of this process
+	KillAt      int             // number of the operation at which the process is killed; 0: none
+	Space       int             // maximum size of all files in bytes; 0: unlimited
+	moved       []move          // renames since the last SyncDir, in order
 }
 
 type file struct {
 	text   []byte
-	synced []byte // what is sure
+	synced []byte // contents at the last Sync
 }
 
 type move struct{ from, to string }
 
-// NewLayer makes an empty disk.
-func NewLayer(seed uint64) *Layer {
-	return &Layer{rng: rand.New(rand.NewPCG(seed, 0xd15c)), files: map[string]file{}, durable: map[string]file{}, locks: map[string]int{}}
+// NewMemoryFileSystem returns an empty file system whose faults are drawn from the seed.
+func NewMemoryFileSystem(seed uint64) *MemoryFileSystem {
+	return &MemoryFileSystem{rng: rand.New(rand.NewPCG(seed, 0xd15c)), files: map[string]file{}, durable: map[string]file{}, locks: map[string]int{}}
 }
 
-func (l *Layer) op() error {
+func (l *MemoryFileSystem) op() error {
 	l.Ops++
 	if l.KillAt > 0 && l.Ops >= l.KillAt {
 		return errKilled
@@ -52,11 +53,11 @@
 	return nil
 }
 
-// MakeDir does nothing: folders are names.
-func (l *Layer) MakeDir(string) error { return l.op() }
+// MakeDir only counts as an operation: directories exist as parts of file names.
+func (l *MemoryFileSystem) MakeDir(string) error { return l.op() }
 
-// ReadFile reads.
-func (l *Layer) ReadFile(path string, most int) ([]byte, error) {
+// ReadFile returns up to most bytes of a file.
+func (l *MemoryFileSystem) ReadFile(path string, most int) ([]byte, error) {
 	if err := l.op(); err != nil {
 		return nil, err
 	}
@@ -67,12 +68,12 @@
 	return slices.Clone(f.text[:min(len(f.text), most)]), nil
 }
 
-// WriteFile writes; nothing of it is sure before Sync.
-func (l *Layer) WriteFile(path string, text []byte) error {
+// WriteFile replaces the contents of a file. They are not durable before Sync.
+func (l *MemoryFileSystem) WriteFile(path string, text []byte) error {
 	err := l.op()
 	f := l.files[path]
 	f.text = slices.Clone(text)
-	if err != nil { // ended in the middle of it
+	if err != nil { // the process was killed during the write
 		f.text = f.text[:l.rng.IntN(len(f.text)+1)]
 	}
 	if over := l.size() - len(l.files[path].text) + len(f.text) - l.Space; l.Space > 0 && over > 0 {
@@ -83,15 +84,15 @@
 	return err
 }
 
-func (l *Layer) size() (n int) {
+func (l *MemoryFileSystem) size() (n int) {
 	for _, f := range l.files {
 		n += len(f.text)
 	}
 	return n
 }
 
-// Sync makes the text of a file sure.
-func (l *Layer) Sync(path string) error {
+// Sync makes the contents of a file durable.
+func (l *MemoryFileSystem) Sync(path string) error {
 	if err := l.op(); err != nil {
 		return err
 	}
@@ -104,8 +105,8 @@
 	return nil
 }
 
-// Rename renames; that is not sure before SyncDir.
-func (l *Layer) Rename(from, to string) error {
+// Rename renames a file. The rename is not durable before SyncDir.
+func (l *MemoryFileSystem) Rename(from, to string) error {
 	if err := l.op(); err != nil {
 		return err
 	}
@@ -119,8 +120,8 @@
 	return nil
 }
 
-// SyncDir makes the names of a folder sure.
-func (l *Layer) SyncDir(dir string) error {
+// SyncDir makes the names of all files durable.
+func (l *MemoryFileSystem) SyncDir(dir string) error {
 	if err := l.op(); err != nil {
 		return err
 	}
@@ -129,8 +130,8 @@
 	return nil
 }
 
-// Lock takes a lock of this life.
-func (l *Layer) Lock(path string) (func() error, error) {
+// Lock takes a lock that ends with the process at the latest.
+func (l *MemoryFileSystem) Lock(path string) (func() error, error) {
 	if err := l.op(); err != nil {
 		return nil, err
 	}
@@ -147,11 +148,11 @@
 	}, nil
 }
 
-// Crash ends the process and the machine: what was not synced is lost, kept or torn, each by chance, and renames that were
-// not synced may have been done or not. The next process finds the disk as it then is.
-func (l *Layer) Crash() {
+// Crash ends the process and the machine. Each unsynced write is lost, kept or corrupted at random, and each unsynced rename
+// may have taken effect or not. The next process finds the resulting files.
+func (l *MemoryFileSystem) Crash() {
 	after := maps.Clone(l.durable)
-	for name, f := range l.files { // a file that was synced may be there under its new name without SyncDir
+	for name, f := range l.files { // a new file may exist under its name even without SyncDir
 		if _, ok := after[name]; !ok && l.rng.IntN(2) == 0 {
 			after[name] = f
 		}
@@ -176,23 +177,23 @@
 	l.end()
 }
 
-// Kill ends the process alone: the machine still has what was written.
-func (l *Layer) Kill() { l.end() }
+// Kill ends the process only: the machine keeps everything that was written.
+func (l *MemoryFileSystem) Kill() { l.end() }
 
-func (l *Layer) end() {
+func (l *MemoryFileSystem) end() {
 	l.incarnation++
 	l.locks = map[string]int{}
 	l.Ops, l.KillAt = 0, 0
 }
 
-// tear is what a crash may leave of a text that was not synced.
-func (l *Layer) tear(f file) []byte {
+// tear returns what a crash leaves of a file with unsynced contents.
+func (l *MemoryFileSystem) tear(f file) []byte {
 	switch l.rng.IntN(5) {
 	case 0:
 		return slices.Clone(f.synced)
 	case 1:
 		return slices.Clone(f.text)
-	case 2: // cut
+	case 2: // truncated
 		return slices.Clone(f.text[:l.rng.IntN(len(f.text)+1)])
 	case 3: // a bit flipped
 		text := slices.Clone(f.text)
@@ -201,7 +202,7 @@
 		}
 		return text
 	}
-	text := slices.Clone(f.text) // the first blocks are the old ones, or empty
+	text := slices.Clone(f.text) // the beginning has the old contents, or zeros
 	at := l.rng.IntN(len(text) + 1)
 	for i := range text[:at] {
 		text[i] = 0
@@ -212,8 +213,9 @@
 	return text
 }
 
-// Spoil changes the file of a name in place, as a fault of the disk or a stranger would. It tells whether the file is there.
-func (l *Layer) Spoil(path string, change func([]byte) []byte) bool {
+// Corrupt changes a file and its durable copy in place, as a disk fault or another program does. It reports whether the file
+// exists.
+func (l *MemoryFileSystem) Corrupt(path string, change func([]byte) []byte) bool {
 	f, ok := l.files[path]
 	if ok {
 		text := change(slices.Clone(f.text))
@@ -223,11 +225,11 @@
 	return ok
 }
 
-// Text is a file as it is now.
-func (l *Layer) Text(path string) []byte { return slices.Clone(l.files[path].text) }
+// Text returns the current contents of a file.
+func (l *MemoryFileSystem) Text(path string) []byte { return slices.Clone(l.files[path].text) }
 
-// Names are the files whose names begin with prefix.
-func (l *Layer) Names(prefix string) (names []string) {
+// Names returns the sorted names of the files whose cleaned paths begin with prefix.
+func (l *MemoryFileSystem) Names(prefix string) (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(l.files)) {
 		if strings.HasPrefix(filepath.Clean(name), prefix) {
 			names = append(names, name)
--- a/internal/testkit/contract/place.go
+++ b/internal/testkit/contract/place.go
@@ -10,17 +10,18 @@
 	"fieldrelay/internal/sidecar/store"
 )
 
-// FilePlace is a place on a Layer, for a store in plain files. later makes a text say that it is of a later format.
-func FilePlace(seed uint64, open func(l store.FileSystem, path, owner string) (store.Store, store.OpenResult, error), later func([]byte) []byte) StorePlace {
+// NewMemoryFixture returns a fixture for a store in plain files, on a MemoryFileSystem. later changes the contents of the file
+// so that they declare a newer format.
+func NewMemoryFixture(seed uint64, open func(l store.FileSystem, path, owner string) (store.Store, store.OpenResult, error), later func([]byte) []byte) StoreFixture {
 	const path = "dir/kept"
-	l := NewLayer(seed)
+	l := NewMemoryFileSystem(seed)
 	rng := rand.New(rand.NewPCG(seed, 3))
-	p := StorePlace{
-		Open:           func(owner string) (store.Store, store.OpenResult, error) { return open(l, path, owner) },
-		Spoil:          func(change func([]byte) []byte) bool { return l.Spoil(path, change) },
-		Bytes:          func() []byte { return l.Text(path) },
-		Later:          func() { l.Spoil(path, later) },
-		KnowsOldCopies: true,
+	p := StoreFixture{
+		Open:            func(owner string) (store.Store, store.OpenResult, error) { return open(l, path, owner) },
+		Corrupt:         func(change func([]byte) []byte) bool { return l.Corrupt(path, change) },
+		Bytes:           func() []byte { return l.Text(path) },
+		SetNewerFormat:  func() { l.Corrupt(path, later) },
+		DetectsRollback: true,
 	}
 	p.Kill = func(work func(store.Store) error) error {
 		l.KillAt = 1 + rng.IntN(60)
@@ -41,9 +42,9 @@
 	return p
 }
 
-// DiskPlace is a place at a path of the system's. Its processes die in the middle of a batch: what the next one finds is a
-// copy that was taken while that was written.
-func DiskPlace(path string, seed uint64, open func(owner string) (store.Store, store.OpenResult, error)) StorePlace {
+// NewDiskFixture returns a fixture for a store at a path of the real file system. A killed process dies during a batch: the
+// next process finds a copy of the file that was taken while the batch was being written.
+func NewDiskFixture(path string, seed uint64, open func(owner string) (store.Store, store.OpenResult, error)) StoreFixture {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	read := func() []byte {
 		b, err := os.ReadFile(path)
@@ -53,9 +54,9 @@
 		return b
 	}
 	write := func(b []byte) bool { return os.WriteFile(path, b, 0o600) == nil }
-	return StorePlace{
+	return StoreFixture{
 		Open: open,
-		Spoil: func(change func([]byte) []byte) bool {
+		Corrupt: func(change func([]byte) []byte) bool {
 			b := read()
 			return b != nil && write(change(b))
 		},
@@ -66,9 +67,9 @@
 				return err
 			}
 			if found.Warning != "" {
-				return errors.New("told: " + found.Warning)
+				return errors.New("opening the store gave a warning: " + found.Warning)
 			}
-			k := &dying{Store: s, left: rng.IntN(5), read: read, spins: rng.IntN(20_000)}
+			k := &crashingStore{Store: s, left: rng.IntN(5), read: read, spins: rng.IntN(20_000)}
 			if err := work(k); err != nil && !errors.Is(err, errKilled) {
 				return err
 			}
@@ -79,23 +80,23 @@
 				return err
 			}
 			if len(k.copied) > 0 && !write(k.copied) {
-				return errors.New("the copy is not written")
+				return errors.New("cannot write the copy of the store back")
 			}
 			return nil
 		},
 	}
 }
 
-// dying is a store whose process dies in one of its batches.
-type dying struct {
+// crashingStore is a store whose process dies during one of its batches.
+type crashingStore struct {
 	store.Store
-	left   int // batches before that
-	spins  int // how far into it
+	left   int // number of batches left before the crash
+	spins  int // iterations of busy work between the start of the batch and the copy
 	read   func() []byte
 	copied []byte
 }
 
-func (d *dying) Commit(b *store.Batch) error {
+func (d *crashingStore) Commit(b *store.Batch) error {
 	if d.copied != nil {
 		return errKilled
 	}
@@ -106,7 +107,7 @@
 	var wg sync.WaitGroup
 	var err error
 	wg.Go(func() { err = d.Store.Commit(b) })
-	for i := range d.spins { // work of a drawn length, so that the copy falls anywhere
+	for i := range d.spins { // busy work of random length, so that the copy is taken at any point of the batch
 		if bytes.Count(before[:min(len(before), 64)], []byte{byte(i)}) > 64 {
 			break
 		}
