--- a/internal/sidecar/daemon/fleet.go
+++ b/internal/sidecar/daemon/fleet.go
@@ -19,36 +19,37 @@
 	rules "fieldrelay/internal/sidecar/versionskew/settings"
 )
 
-// How long a process that replaces another tries to bind the fleet's address, which the other one still has.
+// Timeout and retry interval of joining the fleet in a replacement process, while the replaced process still has the
+// fleet's address bound.
 const (
 	joinTimeout       = 5 * time.Second
 	joinRetryInterval = 50 * time.Millisecond
 )
 
-// errNoFleet is the error of settings that name a fleet in a program without one.
-var errNoFleet = errors.New("fleet: this program has none in it")
+// errNoFleet reports settings that name a fleet in a program built without fleet support.
+var errNoFleet = errors.New("fleet: this program is built without fleet support")
 
 // fleetClient connects the relay and the listeners to this process's membership in a fleet, as a relay.Observer, and joins
-// and leaves as the operator's file says. Without a fleet it lets everything through.
+// and leaves as the operator's file says. Without a fleet it admits every request and attempt.
 type fleetClient struct {
 	name        string
 	log         zerolog.Logger
 	zone        string
 	relay       *relay.Relay
 	suspensions *fleetSuspensions
-	join        StartFleet // nil: this program has no fleet in it
+	join        StartFleet // nil: the program is built without fleet support
 
 	mu       sync.Mutex
-	settings settings.Settings // in force, as the next two
-	quotas   quota.SettingsList
-	rules    rules.Settings
-	fleet    Fleet          // nil: off
-	listed   []verdict.Node // servers that take attempts
+	settings settings.Settings  // settings in force
+	quotas   quota.SettingsList // quotas in force
+	rules    rules.Settings     // rules in force
+	fleet    Fleet              // nil: no fleet joined
+	listed   []verdict.Node     // servers that take attempts
 	tenants  []logic.Tenant
 }
 
-// start joins the fleet that the settings name. A process that replaces another tries until that one has left the address,
-// and serves alone if it does not in time.
+// start joins the fleet that the settings name. A replacement process retries until the replaced process has released the
+// address, and serves without a fleet if that does not happen within joinTimeout.
 func (c *fleetClient) start(s settings.Settings, q quota.SettingsList, r rules.Settings, replaces bool) error {
 	c.mu.Lock()
 	c.settings, c.quotas, c.rules = s, q, r
@@ -84,15 +85,15 @@
 		Tenants: c.tenants, AllotmentChanged: c.relay.SetTenantAllowance}
 }
 
-// running returns the fleet, or nil.
+// running returns the joined fleet, or nil if there is none.
 func (c *fleetClient) running() Fleet {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.fleet
 }
 
-// stop leaves the fleet. After a handover it does so without notifying the others, since the new process continues under
-// the same name.
+// stop leaves the fleet. After a handover it does not notify the other members, since the new process continues under the
+// same name.
 func (c *fleetClient) stop(handedOver bool) {
 	f := c.running()
 	switch {
@@ -104,13 +105,13 @@
 		c.relay.SetEjected(nil)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for _, t := range c.tenants { // equal parts again, as without a fleet
+		for _, t := range c.tenants { // the allowance is divided equally again, as without a fleet
 			c.relay.SetTenantAllowance(t.Name, -1)
 		}
 	}
 }
 
-// setTenants takes over the tenants of new settings.
+// setTenants replaces the tenants, for the present fleet and for one that is joined later.
 func (c *fleetClient) setTenants(all []logic.Tenant) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,7 +121,7 @@
 	}
 }
 
-// prepare is the fleet's part of a reload. What can fail is tried before anything changes.
+// prepare is the fleet's step of a reload. It does everything that can fail before anything changes.
 func (c *fleetClient) prepare(next *config.Config) (reconfig.Change, error) {
 	s, q, r := next.Operator.Fleet, next.Operator.Quota, next.Operator.Rules
 	c.mu.Lock()
@@ -135,7 +136,7 @@
 		return reconfig.Do(func() { c.update(s, q, r) }), nil
 	case s.Enabled() && c.join == nil:
 		return reconfig.Do(func() {
-			c.log.Warn().Str("fleet", s.Fleet).Msg("a fleet is named: it is joined at the next start or replacement")
+			c.log.Warn().Str("fleet", s.Fleet).Msg("settings name a fleet, but this program has no fleet support: it is joined at the next start or replacement")
 		}), nil
 	case s.Enabled() && (c.fleet == nil || previous.Listen != s.Listen):
 		if err := checkFree(s.Listen); err != nil {
@@ -151,11 +152,11 @@
 	if err != nil {
 		return err
 	}
-	_ = ln.Close() // that it could be bound is enough
+	_ = ln.Close() // binding the address was the whole check
 	return nil
 }
 
-// update takes over settings that may change while the fleet runs.
+// update applies settings that may change while the fleet runs.
 func (c *fleetClient) update(s settings.Settings, q quota.SettingsList, r rules.Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -176,7 +177,7 @@
 	}
 }
 
-// admit lets a request through the limits of the fleet, as fronthttp.Admit.
+// admit applies the limits of the fleet to a request. It is a fronthttp.Admit.
 func (c *fleetClient) admit(class, tenant string, retry bool, expires time.Time) (done func(), after time.Duration, ok bool) {
 	if f := c.running(); f != nil {
 		return f.Admit(class, tenant, retry, expires)
@@ -184,7 +185,7 @@
 	return func() {}, 0, true
 }
 
-// BeforeAttempt lets an attempt through the limits of the fleet.
+// BeforeAttempt applies the limits of the fleet to an attempt.
 func (c *fleetClient) BeforeAttempt(server, class, tenant string, retry bool, capacity float64, expires time.Time) (
 	release func(), ok bool) {
 	if f := c.running(); f != nil {
@@ -193,8 +194,8 @@
 	return nil, true
 }
 
-// AttemptEnded reports an outcome to the fleet, unless it says nothing about the server's health, as that it was busy or
-// that the attempt was canceled.
+// AttemptEnded reports an outcome to the fleet, unless it says nothing about the server's health: that the server was busy,
+// or that the attempt was canceled.
 func (c *fleetClient) AttemptEnded(server string, outcome logic.Outcome, took time.Duration) {
 	f := c.running()
 	if f == nil {
@@ -208,7 +209,7 @@
 	}
 }
 
-// DrainChanged reports to the fleet that a server drains, or no longer does.
+// DrainChanged reports to the fleet that a server is draining, or no longer is.
 func (c *fleetClient) DrainChanged(server string, startedAt time.Duration, draining bool) {
 	if f := c.running(); f != nil {
 		f.SetDraining(server, startedAt, draining)
--- a/internal/sidecar/daemon/main.go
+++ b/internal/sidecar/daemon/main.go
@@ -23,10 +23,11 @@
 	rules "fieldrelay/internal/sidecar/versionskew/settings"
 )
 
-// operatorEnv names the operator's file.
+// operatorEnv is the environment variable with the path of the operator's file.
 const operatorEnv = "FIELDRELAY_OPERATOR"
 
-// Names of the programs beside this one.
+// Names of the programs in the same folder as this one: the control program, and the suffix of the program with fleet
+// support.
 const (
 	ctlName     = "fieldrelayctl"
 	fleetSuffix = "-fleet"
@@ -39,41 +40,41 @@
 	Peers() ([]string, error)
 	// Figures returns StatsD lines whose names begin with a prefix.
 	Figures(prefix string) []string
-	// Recover has the voters begin anew with this process.
+	// Recover restarts the voter group from this process, after the loss of its majority.
 	Recover() error
 	// SetQuotas replaces the limits of the fleet.
 	SetQuotas(all quota.SettingsList)
-	// CheckRules reads the rules' file of new settings.
+	// CheckRules reads and checks the rules file that new settings name.
 	CheckRules(next rules.Settings) error
-	// SetRules takes over what CheckRules has read, and pushes it.
+	// SetRules applies the rules that CheckRules has read, and pushes them to the fleet.
 	SetRules(next rules.Settings)
-	// Rules returns lines on the rules in force.
+	// Rules returns lines that describe the rules in force.
 	Rules() ([]string, error)
 	// SetTenants replaces the tenants of the settings.
 	SetTenants(all []logic.Tenant)
 	// Quotas returns a line for each limit.
 	Quotas() []string
-	// Verdicts returns a line for each server with a decision on its health.
+	// Verdicts returns a line for each server whose health the fleet has decided on.
 	Verdicts() ([]string, error)
-	// RecordOutcome is how an attempt ended, and the time that it took.
+	// RecordOutcome records whether an attempt failed, and the time that it took.
 	RecordOutcome(node string, failed bool, took time.Duration)
-	// SetNodes is all servers that take attempts.
+	// SetNodes replaces the set of servers that take attempts.
 	SetNodes(nodes []verdict.Node)
-	// SetDraining is that the list has a server, by its start, as draining or gone, or no longer so.
+	// SetDraining records whether the server list has a server as draining or gone. since is the start time of the server.
 	SetDraining(node string, since time.Duration, drains bool)
 	// SetSuspended suspends a server for the whole fleet, or restores it.
 	SetSuspended(node string, suspended bool) error
-	// Admit lets a request through the limits of the fleet, or says after what time to retry. done is called once it has
-	// ended.
+	// Admit applies the limits of the fleet to a request. If it is not admitted, after is the time to wait before a retry.
+	// done must be called when the request has ended.
 	Admit(class, tenant string, again bool, ends time.Time) (done func(), after time.Duration, ok bool)
-	// AdmitAttempt lets an attempt at a server through the limits of the fleet, or not. done, unless nil, is called once it has
-	// ended.
+	// AdmitAttempt applies the limits of the fleet to an attempt at a server. done, unless nil, must be called when the
+	// attempt has ended.
 	AdmitAttempt(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool)
-	// Reload takes over settings that differ only in what may change while it runs.
+	// Reload applies settings that differ from those in force only in keys that may change while the fleet runs.
 	Reload(next settings.Settings)
-	// Close leaves the fleet and notifies the others.
+	// Close leaves the fleet and notifies the other members.
 	Close()
-	// Abandon ends without notifying the others.
+	// Abandon ends the membership without notifying the other members.
 	Abandon()
 }
 
@@ -83,8 +84,8 @@
 // FleetOptions are the settings and callbacks of a fleet.
 type FleetOptions = options.Options
 
-// Main is the program. Without start it has no fleet in it, and executes the program beside it that has one if the
-// operator's file names a fleet.
+// Main is the program. If start is nil, the program has no fleet support: where the operator's file names a fleet, it
+// executes the program with fleet support from the same folder.
 func Main(start StartFleet) {
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	if len(os.Args) > 1 {
@@ -101,7 +102,7 @@
 	}
 }
 
-// execSibling executes a program beside this one in its place. It returns only with an error.
+// execSibling replaces this process by a program from the same folder, by exec. It returns only on an error.
 func execSibling(name func(self string) string, args []string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -111,14 +112,14 @@
 	return fmt.Errorf("%s: %w", other, syscall.Exec(other, append([]string{other}, args...), os.Environ()))
 }
 
-// successor is the path of the program that replaces this one. It is the one without a fleet, which reads the operator's
-// file anew and executes the other one if a fleet is named.
+// successor returns the path of the program to start as the replacement of this process: the one without fleet support,
+// which reads the operator's file again and executes the one with fleet support if the file names a fleet.
 func successor(self string) string {
-	// If the file was replaced, the system adds a suffix to the path of the old one.
+	// If the executable file was replaced, the operating system adds a suffix to the path of the old one.
 	return strings.TrimSuffix(strings.TrimSuffix(self, " (deleted)"), fleetSuffix)
 }
 
-// printError writes a line for an error, or for each fault of a configuration. Errors of the writer have no remedy.
+// printError writes a line for an error, or for each fault of a configuration. Errors of the writer are ignored.
 func printError(w io.Writer, err error) {
 	if faults := (config.FaultsError)(nil); errors.As(err, &faults) {
 		for _, f := range faults {
--- a/internal/sidecar/daemon/management.go
+++ b/internal/sidecar/daemon/management.go
@@ -16,13 +16,14 @@
 	"fieldrelay/internal/sidecar/relay"
 )
 
-// relayTimeout is how long a command waits for the relay: its caller waits a second, however busy the sidecar is.
+// relayTimeout is how long a command waits for the relay. The client of the management address waits one second for its
+// answer, however busy the sidecar is.
 const relayTimeout = 600 * time.Millisecond
 
-// firstListTimeout is how long after the start STATUS says no without a server list.
+// firstListTimeout is the time after the start for which STATUS answers not ready while there is no server list.
 const firstListTimeout = 2 * time.Second
 
-// operations carries out the commands of the management address, as manage.Operations. Its methods return within
+// operations implements the commands of the management address. Its methods return within
 // relayTimeout.
 type operations struct {
 	relay            *relay.Relay
@@ -30,13 +31,13 @@
 	metrics          *metrics.Registry
 	fleet            *fleetClient
 	fleetSuspensions *fleetSuspensions
-	stored           *storedState // for the next process
+	stored           *storedState // state stored for the next process
 	log              zerolog.Logger
 
-	servingSince atomic.Int64 // since when clients are served, in Unix nanoseconds; 0: not yet
+	servingSince atomic.Int64 // time from which clients are served, in Unix nanoseconds; 0: not yet served
 	stopping     atomic.Bool
 	paused       atomic.Bool
-	mu           sync.Mutex // serializes suspensions, so that they are stored in order
+	mu           sync.Mutex // serializes changes of suspensions, so that they are stored in order
 }
 
 // Ready reports whether clients are served.
@@ -81,8 +82,8 @@
 	return err
 }
 
-// changeSuspension requests a change of the relay and stores the suspensions after it. A relay too busy to answer in time has
-// the change in its mailbox all the same, so it will take effect, and the caller is answered yes.
+// changeSuspension requests a change from the relay and stores the suspensions that result from it. If the relay is too busy
+// to answer within relayTimeout, the change is still in its mailbox and will take effect, so the caller gets no error.
 func (o *operations) changeSuspension(request func(done func([]string, error))) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -99,12 +100,12 @@
 		}
 		o.store(r.names)
 	case <-time.After(relayTimeout):
-		o.log.Warn().Msg("suspension pending: no answer of the relay in time")
+		o.log.Warn().Msg("suspension pending: no answer from the relay within its timeout")
 	}
 	return nil
 }
 
-// store stores the suspensions by hand, of the names suspended now, for the next process.
+// store stores, for the next process, which of the suspended names were suspended by hand.
 func (o *operations) store(names []string) {
 	if o.stored == nil {
 		return
@@ -120,12 +121,12 @@
 		return nil, err
 	}
 	if len(names) > relay.MaxSuspended {
-		return nil, fmt.Errorf("%d suspended execute nodes, %d at most", len(names), relay.MaxSuspended)
+		return nil, fmt.Errorf("stored suspensions name %d execute nodes, at most %d are allowed", len(names), relay.MaxSuspended)
 	}
 	return names, nil
 }
 
-// Pause lets readiness say no and ends idle connections, until Resume.
+// Pause makes the readiness check fail and closes idle connections, until Resume.
 func (o *operations) Pause() {
 	o.paused.Store(true)
 	for _, server := range o.listeners.Servers() {
@@ -141,7 +142,7 @@
 	}
 }
 
-// platformSocket returns the listening socket that the platform keeps open for all processes of a sidecar.
+// platformSocket returns the listening socket that the platform keeps open across the processes of a sidecar.
 func platformSocket(fd int) (net.Listener, error) {
 	f := os.NewFile(uintptr(fd), "LB_SOCKET_FD")
 	if f == nil {
@@ -155,10 +156,10 @@
 	return ln, nil
 }
 
-// errFleetOff is the answer to a command for the fleet where there is none.
+// errFleetOff is the answer to a fleet command when no fleet is joined.
 var errFleetOff = errors.New("fleet off")
 
-// fleetLines requests lines of the fleet.
+// fleetLines returns the lines of a request to the fleet, or errFleetOff.
 func (o *operations) fleetLines(request func(Fleet) ([]string, error)) ([]string, error) {
 	f := o.fleet.running()
 	if f == nil {
@@ -167,7 +168,7 @@
 	return request(f)
 }
 
-// Recover has the fleet's voters begin anew with this process.
+// Recover restarts the fleet's voter group from this process, after the loss of its majority.
 func (o *operations) Recover() error {
 	f := o.fleet.running()
 	if f == nil {
@@ -183,16 +184,16 @@
 	return o.fleetLines(func(f Fleet) ([]string, error) { return f.Quotas(), nil })
 }
 
-// Rules returns lines on the rules in force.
+// Rules returns lines that describe the rules in force.
 func (o *operations) Rules() ([]string, error) { return o.fleetLines(Fleet.Rules) }
 
-// Verdicts returns a line for each server with a decision on its health.
+// Verdicts returns a line for each server whose health the fleet has decided on.
 func (o *operations) Verdicts() ([]string, error) { return o.fleetLines(Fleet.Verdicts) }
 
 // Peers returns a line for each member of the fleet.
 func (o *operations) Peers() ([]string, error) { return o.fleetLines(Fleet.Peers) }
 
-// Figures returns StatsD lines.
+// Figures returns the metrics of the sidecar and of the fleet as StatsD lines.
 func (o *operations) Figures() []string {
 	lines := o.metrics.Lines()
 	if f := o.fleet.running(); f != nil {
--- a/internal/sidecar/daemon/reload.go
+++ b/internal/sidecar/daemon/reload.go
@@ -11,26 +11,25 @@
 	"fieldrelay/internal/sidecar/reconfig"
 )
 
-// daemon is what handles signals: reloads of the configuration and the replacement of the process. It belongs to one
-// goroutine.
+// daemon handles signals: it reloads the configuration and replaces the process. It is owned by one goroutine.
 type daemon struct {
 	metrics      *metrics.Registry
 	getenv       func(string) string
-	running      *config.Config // as it was started
-	generation   int            // of the settings in force
+	running      *config.Config // configuration at the start of the process
+	generation   int            // generation number of the settings in force
 	participants []reconfig.Participant[*config.Config]
 	log          zerolog.Logger
 
 	replacing         bool
-	cancelReplacement context.CancelFunc // ends the start of the new process
+	cancelReplacement context.CancelFunc // cancels the start of the new process
 	reloadPending     bool               // a reload was requested while replacing
 	replaced          chan replacement
 }
 
-// reload takes over from the files what can change while the sidecar serves. All parts prepare before anything takes
-// effect; of a file that cannot be used nothing is taken over.
+// reload applies the settings of the files that can change while the sidecar serves. All participants prepare before any
+// change takes effect; if a file has a fault, nothing of it is applied.
 func (d *daemon) reload() {
-	if d.replacing { // the new process reads the files itself; if it does not take over, they are read here
+	if d.replacing { // the new process reads the files; if it fails to take over, this one reloads them
 		d.reloadPending = true
 		return
 	}
@@ -49,7 +48,7 @@
 		Strs("at next start", d.running.Changed(next)).Msg("configuration reloaded")
 }
 
-// reloadParticipants are the parts of the sidecar that a reload changes, in the order in which they take effect.
+// reloadParticipants returns the components that a reload changes, in the order in which their changes take effect.
 func (s *sidecar) reloadParticipants() []reconfig.Participant[*config.Config] {
 	return []reconfig.Participant[*config.Config]{
 		{Name: "front", Prepare: s.prepareListeners},
@@ -70,12 +69,12 @@
 	next.Listen = s.cfg.Listen // the platform's own address does not change
 	change, err := s.listeners.Prepare(next.Fronts())
 	if err != nil {
-		return nil, err // a nil *front.Change would be a reconfig.Change that is not nil
+		return nil, err // a nil *frontend.Change would be a reconfig.Change that is not nil
 	}
 	return change, nil
 }
 
-// setClasses lets new classes and tenants take effect.
+// setClasses applies new classes and tenants.
 func (s *sidecar) setClasses(next logic.Config) {
 	names := classNames(next.Classes)
 	s.metrics.List(names...)
@@ -89,7 +88,7 @@
 	s.log.Info().Strs("classes", names).Int("attempts", next.Limits.MaxAttempts).Msg("classes in force")
 }
 
-// classNames are the names of classes, in their order.
+// classNames returns the names of classes, in the order of the classes.
 func classNames(classes []logic.Class) []string {
 	names := make([]string, len(classes))
 	for i, c := range classes {
--- a/internal/sidecar/daemon/replace.go
+++ b/internal/sidecar/daemon/replace.go
@@ -8,13 +8,13 @@
 	"fieldrelay/internal/sidecar/handover"
 )
 
-// replacement is how the start of a new process ended.
+// replacement is the result of starting a new process.
 type replacement struct {
 	pid int
 	err error
 }
 
-// replace starts the program anew, as its file is now, and hands it the listeners.
+// replace starts a new process from the present executable file and passes it the listeners.
 func (d *daemon) replace(listeners map[string]net.Listener) {
 	options := &d.running.Operator.Replace
 	if !options.Enabled || d.replacing {
@@ -39,8 +39,8 @@
 	}()
 }
 
-// endReplacement ends the start of a new process that is under way, since this one is to end and has no time to wait for it:
-// its requests must be answered before it is killed. It reports whether the new process has taken over all the same.
+// endReplacement cancels the start of a new process that is in progress: this process is terminating, and its requests must
+// be answered before it is killed, which leaves no time to wait. It reports whether the new process took over nevertheless.
 func (d *daemon) endReplacement() bool {
 	if !d.replacing {
 		return false
@@ -50,14 +50,14 @@
 	return d.replacedBy(<-d.replaced)
 }
 
-// replacedBy handles the end of a replacement. It reports whether the new process has taken over.
+// replacedBy handles the result of a replacement. It reports whether the new process has taken over.
 func (d *daemon) replacedBy(r replacement) bool {
 	d.replacing = false
 	if r.err == nil {
 		d.log.Info().Int("pid", r.pid).Msg("replaced")
 		return true
 	}
-	d.log.Error().Err(r.err).Msg("replacement failed, this process goes on")
+	d.log.Error().Err(r.err).Msg("replacement failed, this process continues to serve")
 	if d.reloadPending {
 		d.reloadPending = false
 		d.reload()
--- a/internal/sidecar/daemon/run.go
+++ b/internal/sidecar/daemon/run.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	shutdownDelay     = 500 * time.Millisecond // after SIGTERM new connections are still accepted for so long
-	answerGracePeriod = 10 * time.Second       // beyond the longest deadline, for the last answers
-	// lastResultsTimeout is left after the last answer for the results of canceled attempts.
+	shutdownDelay     = 500 * time.Millisecond // time for which new connections are still accepted after SIGTERM
+	answerGracePeriod = 10 * time.Second       // time beyond the longest deadline for sending the last answers
+	// lastResultsTimeout is the time after the last answer within which canceled attempts return their results.
 	lastResultsTimeout = 100 * time.Millisecond
 	// readyPollInterval is how often a process that replaces another checks whether it can serve.
 	readyPollInterval = 10 * time.Millisecond
@@ -27,7 +27,7 @@
 	reload, terminate, replace chan os.Signal
 }
 
-// notifySignals must be called first: left to the system, a SIGHUP would end the process.
+// notifySignals must be called before anything else: by the system's default action a SIGHUP would end the process.
 func notifySignals() *signals {
 	s := &signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
 	signal.Notify(s.reload, syscall.SIGHUP)
@@ -42,7 +42,7 @@
 	signal.Stop(s.replace)
 }
 
-// run serves until SIGTERM, or until a new process has taken over, and then until all requests are answered. On SIGHUP it
+// run serves until SIGTERM, or until a new process has taken over, and then answers all pending requests. On SIGHUP it
 // reloads its configuration, on SIGUSR2 it starts a new process. It logs to out.
 func run(getenv func(string) string, out io.Writer, join StartFleet) error {
 	signals := notifySignals()
@@ -72,7 +72,7 @@
 	return s.shutDown(handedOver)
 }
 
-// wait handles signals until the process is to end. It reports whether a new process has taken over.
+// wait handles signals until the process has to terminate. It reports whether a new process has taken over.
 func (d *daemon) wait(s *sidecar, signals *signals) (handedOver bool, err error) {
 	for serving := true; serving; {
 		select {
@@ -82,7 +82,7 @@
 			d.reload()
 		case <-signals.replace:
 			listeners := s.listeners.Listeners()
-			if s.managed != nil { // bound twice, the new process could not start
+			if s.managed != nil { // the new process could not bind the same address and would fail to start
 				listeners[s.cfg.Mgmt] = s.managed.Listener()
 			}
 			d.replace(listeners)
@@ -97,11 +97,11 @@
 	return d.endReplacement() || handedOver, nil
 }
 
-// shutDown ends the sidecar after all requests are answered. After a handover the new process serves on.
+// shutDown ends the sidecar after all requests are answered. After a handover the new process goes on serving.
 func (s *sidecar) shutDown(handedOver bool) error {
 	s.log.Info().Bool("handed over", handedOver).Msg("terminating")
 	if handedOver && s.managed != nil {
-		s.closeManagement() // the new process answers there now
+		s.closeManagement() // the new process answers at the management address now
 	}
 	s.fleet.stop(handedOver)
 	if !handedOver {
@@ -118,7 +118,8 @@
 	return err
 }
 
-// unreturnedBytes returns what is reserved once all requests are answered. The last results may still be on their way.
+// unreturnedBytes returns the bytes still reserved after all requests are answered. It waits up to lastResultsTimeout for
+// results of attempts that have not yet arrived.
 func unreturnedBytes(gate *budget.Gate) budget.State {
 	s := gate.State()
 	end := time.Now().Add(lastResultsTimeout)
--- a/internal/sidecar/daemon/sidecar.go
+++ b/internal/sidecar/daemon/sidecar.go
@@ -24,10 +24,10 @@
 	transporthttp "fieldrelay/internal/sidecar/transport/http"
 )
 
-// metricsPrefix begins every StatsD line.
+// metricsPrefix is the prefix of every StatsD line.
 const metricsPrefix = "lb"
 
-// sidecar is the parts of the sidecar in one process.
+// sidecar holds the components of the sidecar in one process.
 type sidecar struct {
 	cfg          *config.Config
 	inherited    *handover.Inherited
@@ -45,11 +45,11 @@
 	listeners    *frontend.Set
 	operations   *operations
 	managed      *manage.Server // nil: no management address
-	drainTimeout time.Duration  // for the last answers
+	drainTimeout time.Duration  // time in which pending requests may be answered at the shutdown
 	stopped      chan struct{}  // closed by close
 }
 
-// build makes the parts and starts those that serve nobody yet. close ends them also after an error.
+// build creates the components and starts those that do not serve clients. close must be called even after an error.
 func (s *sidecar) build(out io.Writer, join StartFleet) error {
 	cfg := s.cfg
 	runtime.GOMAXPROCS(cfg.Procs)
@@ -77,11 +77,11 @@
 	return nil
 }
 
-// buildMemory makes the byte budget from the memory that the process takes before it serves.
+// buildMemory sizes the byte budget by the memory that the process uses before it serves.
 func (s *sidecar) buildMemory() {
 	sizes, err := memorytuner.Read()
 	if err != nil {
-		s.log.Warn().Err(err).Msg("memory use not known: budget not compared with it")
+		s.log.Warn().Err(err).Msg("memory use of the process not known: byte budget not compared with it")
 		sizes = memorytuner.Unknown
 	}
 	s.memory = memorytuner.NewPlan(s.cfg.MemoryBytes, sizes)
@@ -115,7 +115,7 @@
 	return names
 }
 
-// adoptPlatformSocket uses the platform's listening socket, unless the process before this one has handed it over.
+// adoptPlatformSocket uses the platform's listening socket, unless the replaced process has handed it over.
 func (s *sidecar) adoptPlatformSocket() error {
 	if s.cfg.SocketFD < 0 || s.inherited.Listeners[s.cfg.Listen] != nil {
 		return nil
@@ -161,7 +161,7 @@
 	s.listeners = frontend.NewSet(newServer, s.inherited.Listeners, s.drainTimeout, s.hub.Component("front"))
 }
 
-// startManagement answers at the management address, if there is one.
+// startManagement serves the management address, if one is configured.
 func (s *sidecar) startManagement() (err error) {
 	log, address := s.hub.Component("manage"), s.cfg.Mgmt
 	s.operations = &operations{relay: s.relay, listeners: s.listeners, metrics: s.metrics, fleet: s.fleet,
@@ -171,7 +171,7 @@
 	}
 	if ln := s.inherited.Listeners[address]; ln != nil {
 		s.managed = manage.Serve(ln, s.operations, log)
-		delete(s.inherited.Listeners, address) // it is none of clients
+		delete(s.inherited.Listeners, address) // it does not serve clients
 		return nil
 	}
 	if s.managed, err = manage.Listen(address, s.operations, log); err != nil {
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// relievePressure closes idle connections when bytes are short.
+// relievePressure closes idle connections at a memory pressure of CloseIdle or more.
 func (s *sidecar) relievePressure(p budget.Pressure) {
 	if p < budget.CloseIdle {
 		return
@@ -192,7 +192,7 @@
 	s.relay.TrimIdle()
 }
 
-// serve takes over from the process before this one, if there is one, joins the fleet and lets the listeners serve.
+// serve takes over from the replaced process, if there is one, joins the fleet and lets the listeners serve.
 func (s *sidecar) serve() error {
 	opened, err := s.listeners.Prepare(s.cfg.Fronts())
 	if err != nil {
@@ -210,7 +210,7 @@
 	}
 	opened.Commit()
 	s.listeners.CloseUnused()
-	if replaces { // only now will the process before this one leave the fleet's address
+	if replaces { // the replaced process releases the fleet's address only from here on
 		if err := s.fleet.start(operator.Fleet, operator.Quota, operator.Rules, true); err != nil {
 			s.log.Error().Err(err).Msg("fleet not joined, serving alone")
 		}
@@ -222,10 +222,10 @@
 	return nil
 }
 
-// errNoServerListed is the error of a process that cannot take over from another.
-var errNoServerListed = errors.New("no execute node is listed in time: the process before this one goes on")
+// errNoServerListed is the error of a replacement process that cannot serve and so does not take over.
+var errNoServerListed = errors.New("handover: no execute node was listed within the timeout: the replaced process goes on serving")
 
-// takeOver waits until this process can serve, and then notifies the one that it replaces, if there is one.
+// takeOver waits until this process can serve, and then notifies the process that it replaces, if there is one.
 func (s *sidecar) takeOver(timeout time.Duration) error {
 	for end := time.Now().Add(timeout); s.inherited.Replaces() && !s.relay.Ready(); <-time.After(readyPollInterval) {
 		if time.Now().After(end) {
@@ -235,7 +235,7 @@
 	return s.inherited.Ready()
 }
 
-// close ends what build has started.
+// close stops the components that build has started.
 func (s *sidecar) close() {
 	close(s.stopped)
 	if s.managed != nil {
@@ -246,4 +246,4 @@
 	}
 }
 
-func (s *sidecar) closeManagement() { _ = s.managed.Close() } // it may be closed already
+func (s *sidecar) closeManagement() { _ = s.managed.Close() } // an error means that it is closed already
--- a/internal/sidecar/daemon/state.go
+++ b/internal/sidecar/daemon/state.go
@@ -12,30 +12,30 @@
 	"fieldrelay/internal/sidecar/store"
 )
 
-// storedState is what a sidecar stores for the next process: in $TMPDIR, which a process that replaces it shares. Nothing is
-// opened, created or locked before there is something to store.
+// storedState is the state that a sidecar stores for the next process, in $TMPDIR, which a replacement process shares. No file
+// is opened, created or locked before there is something to store.
 type storedState struct {
 	options     store.Options
-	legacyFiles map[string]string // by key: the JSON file in which versions before the store had it
+	legacyFiles map[string]string // by key: the JSON file in which versions before the store kept the value
 }
 
 const (
 	maxStoredBytes   = 4 << 20
-	storeLockTimeout = 300 * time.Millisecond // for the lock of another process; a caller of the management address waits for it
+	storeLockTimeout = 300 * time.Millisecond // wait for a lock that another process has; a client of the management address waits as long
 
 	keySuspended       = "suspended" // names of servers suspended by hand
 	keyFleetStatements = "words"     // the fleet's statements on servers
 )
 
-// newStoredState returns the state in a folder of the sidecar of a name.
+// newStoredState returns the stored state of the sidecar with a name, in a folder.
 func newStoredState(dir, name string) *storedState {
 	path := filepath.Join(dir, "fieldrelay-"+filepath.Base(name))
 	return &storedState{options: store.Options{Path: path + ".kept", Owner: name, MaxBytes: maxStoredBytes, LockTimeout: storeLockTimeout},
 		legacyFiles: map[string]string{keySuspended: path + ".suspended.json", keyFleetStatements: path + ".fleet.json"}}
 }
 
-// load decodes what is stored under a key into v; if nothing is, v stays as it is. With an error, which is for the operator,
-// nothing of it is used.
+// load decodes the value stored under a key into v. If none is stored, v is unchanged. After an error, which is meant for the
+// operator, v must not be used.
 func (k *storedState) load(key string, v any) error {
 	if _, err := os.Stat(k.options.Path); err == nil {
 		var text []byte
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// save stores v under a key, in place of what was there.
+// save stores v under a key, replacing the value there, and removes the legacy file of the key.
 func (k *storedState) save(key string, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/sidecar/daemon/suspensions.go
+++ b/internal/sidecar/daemon/suspensions.go
@@ -11,15 +11,15 @@
 )
 
 // fleetSuspensions applies the fleet's statements on servers to the relay, and stores them. Suspensions by hand at this
-// sidecar are tracked apart: a server takes requests again once neither has it suspended.
+// sidecar are tracked separately: a server takes requests again once it is suspended neither by the fleet nor by hand.
 type fleetSuspensions struct {
 	relay  *relay.Relay
 	stored *storedState
 	log    zerolog.Logger
 
 	mu      sync.Mutex
-	byFleet []string        // names of servers
-	byHand  map[string]bool // likewise
+	byFleet []string        // names of servers that the fleet has suspended
+	byHand  map[string]bool // names of servers suspended by hand
 }
 
 func newFleetSuspensions(r *relay.Relay, stored *storedState, log zerolog.Logger) *fleetSuspensions {
@@ -39,7 +39,7 @@
 	return statements
 }
 
-// onChanged applies and stores the present statements.
+// onChanged applies and stores the current statements.
 func (s *fleetSuspensions) onChanged(all []verdict.Statement) {
 	s.apply(all)
 	if err := s.stored.save(keyFleetStatements, all); err != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// apply suspends what the statements suspend, and restores what they no longer do.
+// apply suspends the servers that the statements suspend, and restores those that they no longer suspend.
 func (s *fleetSuspensions) apply(all []verdict.Statement) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +94,7 @@
 	return slices.Contains(s.byFleet, server)
 }
 
-// byHandOnly returns those of the suspended servers that the fleet does not have suspended, or that are by hand as well.
+// byHandOnly returns the suspended servers without those that only the fleet has suspended.
 func (s *fleetSuspensions) byHandOnly(suspended []string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
