--- a/internal/sidecar/daemon/daemon_test.go
+++ b/internal/sidecar/daemon/daemon_test.go
@@ -48,7 +48,7 @@
 	if len(*log) != 0 || len(d.replaced) != 0 {
 		t.Errorf("%v during a replacement", *log)
 	}
-	if d.replacedBy(replacement{err: handover.ErrTooLate}) || d.replacing {
+	if d.replacedBy(replacement{err: handover.ErrTimeout}) || d.replacing {
 		t.Error("a failed replacement has taken over")
 	}
 	if diff := cmp.Diff([]string{"prepares", "commits"}, *log); diff != "" || d.generation != 2 {
@@ -75,7 +75,7 @@
 			if taken {
 				d.replaced <- replacement{pid: 1}
 			} else {
-				d.replaced <- replacement{err: handover.ErrGivenUp}
+				d.replaced <- replacement{err: handover.ErrCanceled}
 			}
 		}
 		ended := make(chan bool, 1)
--- a/internal/sidecar/handover/handover.go
+++ b/internal/sidecar/handover/handover.go
@@ -21,59 +21,61 @@
 
 // Settings are the section replace of the operator's file.
 type Settings struct {
-	Enabled  bool    `toml:"enabled"`    // SIGUSR2 starts a new process that takes over
-	Patience float64 `toml:"patience_s"` // seconds in which it must be ready
+	Enabled        bool    `toml:"enabled"`    // SIGUSR2 starts a new process that takes over
+	TimeoutSeconds float64 `toml:"patience_s"` // seconds in which it must be ready
 }
 
 // Defaults are the settings where the operator says nothing.
-func Defaults() Settings { return Settings{Patience: 10} }
+func Defaults() Settings { return Settings{TimeoutSeconds: 10} }
 
-const mostPatience = 600
+const maxTimeoutSeconds = 600
 
 // Check calls fault for each key whose value cannot be used.
 func (s *Settings) Check(fault func(key string, read any, allowed string)) {
-	if !(s.Patience > 0 && s.Patience <= mostPatience) {
-		fault("patience_s", s.Patience, fmt.Sprintf("over 0, up to %d", mostPatience))
+	if !(s.TimeoutSeconds > 0 && s.TimeoutSeconds <= maxTimeoutSeconds) {
+		fault("patience_s", s.TimeoutSeconds, fmt.Sprintf("over 0, up to %d", maxTimeoutSeconds))
 	}
 }
 
-// Wait is the time in which a new process must be ready.
-func (s *Settings) Wait() time.Duration { return time.Duration(s.Patience * float64(time.Second)) }
+// ReadyTimeout is the time in which a new process must be ready.
+func (s *Settings) ReadyTimeout() time.Duration {
+	return time.Duration(s.TimeoutSeconds * float64(time.Second))
+}
 
-// variable names in the environment what the new process inherits.
-const variable = "FIELDRELAY_HANDOVER"
+// inheritedEnv names in the environment what the new process inherits.
+const inheritedEnv = "FIELDRELAY_HANDOVER"
 
-// firstFile is the descriptor of the first inherited file; the ones before it are the standard ones.
-const firstFile = 3
+// firstInheritedFD is the descriptor of the first inherited file; the ones before it are the standard ones.
+const firstInheritedFD = 3
 
 // What keeps a replacement from taking over.
 var (
-	ErrEnded   = errors.New("handover: the new process ended before it was ready")
-	ErrTooLate = errors.New("handover: the new process was not ready in time")
-	ErrGivenUp = errors.New("handover: given up before the new process was ready")
+	ErrExited   = errors.New("handover: the new process ended before it was ready")
+	ErrTimeout  = errors.New("handover: the new process was not ready in time")
+	ErrCanceled = errors.New("handover: given up before the new process was ready")
 )
 
 // Start starts binary with args and gives it the listeners, by address. It waits until the new process is ready, for
 // patience at the most and no longer than ctx is. With an error the new process has ended and the caller goes on as before; without one the
 // caller closes its listeners and drains.
-func Start(ctx context.Context, binary string, args []string, listeners map[string]net.Listener, patience time.Duration) (pid int, err error) {
-	ready, said, err := os.Pipe()
+func Start(ctx context.Context, binary string, args []string, listeners map[string]net.Listener, timeout time.Duration) (pid int, err error) {
+	ready, readyWriter, err := os.Pipe()
 	if err != nil {
 		return 0, err
 	}
 	defer func() { _ = ready.Close() }()
-	defer func() { _ = said.Close() }() // a second time, as a rule
+	defer func() { _ = readyWriter.Close() }() // a second time, as a rule
 	inherited, err := duplicateAll(listeners)
 	defer inherited.close()
 	if err != nil {
 		return 0, err
 	}
-	proc, err := startProcess(binary, args, said, inherited)
+	proc, err := startProcess(binary, args, readyWriter, inherited)
 	if err != nil {
 		return 0, err
 	}
-	_ = said.Close() // so that the pipe ends with the new process
-	if err := awaitReady(ctx, ready, patience); err != nil {
+	_ = readyWriter.Close() // so that the pipe ends with the new process
+	if err := awaitReady(ctx, ready, timeout); err != nil {
 		_ = proc.Kill() // it may have ended
 		_, _ = proc.Wait()
 		return 0, err
@@ -108,15 +110,15 @@
 }
 
 // startProcess starts the new process with the pipe on which it says that it is ready, and with the sockets.
-func startProcess(binary string, args []string, said *os.File, inherited inheritance) (*os.Process, error) {
-	told, err := json.Marshal(inherited.addresses)
+func startProcess(binary string, args []string, readyWriter *os.File, inherited inheritance) (*os.Process, error) {
+	addresses, err := json.Marshal(inherited.addresses)
 	if err != nil {
 		return nil, err
 	}
-	env := slices.DeleteFunc(os.Environ(), func(v string) bool { return strings.HasPrefix(v, variable+"=") })
+	env := slices.DeleteFunc(os.Environ(), func(v string) bool { return strings.HasPrefix(v, inheritedEnv+"=") })
 	pid, err := syscall.ForkExec(binary, append([]string{binary}, args...), &syscall.ProcAttr{
-		Env:   append(env, variable+"="+string(told)),
-		Files: append([]uintptr{0, 1, 2, said.Fd()}, inherited.descriptors...),
+		Env:   append(env, inheritedEnv+"="+string(addresses)),
+		Files: append([]uintptr{0, 1, 2, readyWriter.Fd()}, inherited.descriptors...),
 	})
 	if err != nil {
 		return nil, err
@@ -125,34 +127,34 @@
 }
 
 // awaitReady waits until the new process has said that it is ready. The error is one of those above.
-func awaitReady(ctx context.Context, ready *os.File, patience time.Duration) error {
+func awaitReady(ctx context.Context, ready *os.File, timeout time.Duration) error {
 	// A pipe takes deadlines until it is closed.
-	_ = ready.SetReadDeadline(time.Now().Add(patience))
+	_ = ready.SetReadDeadline(time.Now().Add(timeout))
 	defer context.AfterFunc(ctx, func() { _ = ready.SetReadDeadline(time.Unix(1, 0)) })()
 	_, err := ready.Read(make([]byte, 1))
 	switch {
-	case err == nil || hasSaid(ready):
+	case err == nil || signaledReady(ready):
 		return nil
 	case ctx.Err() != nil:
-		return ErrGivenUp
+		return ErrCanceled
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return ErrTooLate
+		return ErrTimeout
 	default:
-		return ErrEnded
+		return ErrExited
 	}
 }
 
-// hasSaid tells whether the new process has said that it is ready. A read whose deadline is over does not look, and a process
+// signaledReady tells whether the new process has said that it is ready. A read whose deadline is over does not look, and a process
 // that has said so may serve already.
-func hasSaid(ready *os.File) bool {
-	said := false
+func signaledReady(ready *os.File) bool {
+	signaled := false
 	if raw, err := ready.SyscallConn(); err == nil {
 		_ = raw.Control(func(fd uintptr) { // fails once the pipe is closed: nothing was said then
 			n, err := unix.Read(int(fd), make([]byte, 1)) // the pipe does not block
-			said = err == nil && n == 1
+			signaled = err == nil && n == 1
 		})
 	}
-	return said
+	return signaled
 }
 
 // duplicate gives a listener's descriptor a second time. os.File would make the socket a blocking one, for both
@@ -183,20 +185,20 @@
 // Inherit takes over what the environment tells of. It is called once, at the start.
 func Inherit() (*Inherited, error) {
 	in := &Inherited{Listeners: map[string]net.Listener{}}
-	told := os.Getenv(variable)
-	if told == "" {
+	encoded := os.Getenv(inheritedEnv)
+	if encoded == "" {
 		return in, nil
 	}
-	if err := os.Unsetenv(variable); err != nil {
+	if err := os.Unsetenv(inheritedEnv); err != nil {
 		return nil, err
 	}
 	var addresses []string
-	if err := json.Unmarshal([]byte(told), &addresses); err != nil {
-		return nil, fmt.Errorf("%s: %w", variable, err)
+	if err := json.Unmarshal([]byte(encoded), &addresses); err != nil {
+		return nil, fmt.Errorf("%s: %w", inheritedEnv, err)
 	}
-	in.ready = os.NewFile(firstFile, "ready")
+	in.ready = os.NewFile(firstInheritedFD, "ready")
 	for i, address := range addresses {
-		f := os.NewFile(uintptr(firstFile+1+i), address)
+		f := os.NewFile(uintptr(firstInheritedFD+1+i), address)
 		ln, err := net.FileListener(f)
 		_ = f.Close() // the listener has a descriptor of its own
 		if err != nil {
--- a/internal/sidecar/handover/handover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -18,7 +18,7 @@
 const role = "HANDOVER_TEST_ROLE"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(variable) != "" {
+	if os.Getenv(inheritedEnv) != "" {
 		os.Exit(replacement(os.Getenv(role)))
 	}
 	os.Exit(m.Run())
@@ -116,8 +116,8 @@
 		patience     time.Duration
 		want         error
 	}{
-		"it hangs":        {os.Args[0], "hangs", 200 * time.Millisecond, ErrTooLate},
-		"it crashes":      {os.Args[0], "crashes", 10 * time.Second, ErrEnded},
+		"it hangs":        {os.Args[0], "hangs", 200 * time.Millisecond, ErrTimeout},
+		"it crashes":      {os.Args[0], "crashes", 10 * time.Second, ErrExited},
 		"it is not there": {filepath.Join(t.TempDir(), "none"), "", time.Second, os.ErrNotExist},
 	} {
 		t.Setenv(role, c.role)
@@ -170,7 +170,7 @@
 		t.Errorf("%+v, %v", in, err)
 	}
 	var faults []string
-	s := Settings{Patience: -1}
+	s := Settings{TimeoutSeconds: -1}
 	s.Check(func(key string, _ any, _ string) { faults = append(faults, key) })
 	if len(faults) != 1 || faults[0] != "patience_s" {
 		t.Error(faults)
@@ -190,7 +190,7 @@
 	cancel()
 	select {
 	case err := <-ended:
-		if !errors.Is(err, ErrGivenUp) {
+		if !errors.Is(err, ErrCanceled) {
 			t.Errorf("it ended with %v", err)
 		}
 	case <-time.After(10 * time.Second):
@@ -220,7 +220,7 @@
 		if _, err := r.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatalf("%s: the read gave %v", name, err)
 		}
-		if got := hasSaid(r); got != c.want {
+		if got := signaledReady(r); got != c.want {
 			t.Errorf("%s: seen %t", name, got)
 		}
 		_ = r.Close()
