--- a/internal/sidecar/handover/handover.go
+++ b/internal/sidecar/handover/handover.go
@@ -1,7 +1,7 @@
-// Package handover replaces a process by another one that goes on with its
-// listening sockets: the new process inherits their descriptors, says on a pipe
-// when it is ready, and only then does the old one stop to accept. Connections
-// that wait in the queue of a socket belong to the socket, so none is lost.
+// Package handover replaces a process by a new one that takes over its
+// listening sockets: the new process inherits their descriptors and signals on
+// a pipe that it is ready, and only then does the old process stop accepting.
+// Connections in the accept queue belong to the socket, so none is lost.
 package handover
 
 import (
@@ -19,13 +19,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Settings are the section replace of the operator's file.
+// Settings is the section replace of the operator's file.
 type Settings struct {
 	Enabled        bool    `toml:"enabled"`    // SIGUSR2 starts a new process that takes over
-	TimeoutSeconds float64 `toml:"patience_s"` // seconds in which it must be ready
+	TimeoutSeconds float64 `toml:"patience_s"` // seconds within which the new process must be ready
 }
 
-// Defaults are the settings where the operator says nothing.
+// Defaults returns the settings that apply where the operator's file sets none.
 func Defaults() Settings { return Settings{TimeoutSeconds: 10} }
 
 const maxTimeoutSeconds = 600
@@ -37,34 +37,35 @@
 	}
 }
 
-// ReadyTimeout is the time in which a new process must be ready.
+// ReadyTimeout returns the time within which a new process must be ready.
 func (s *Settings) ReadyTimeout() time.Duration {
 	return time.Duration(s.TimeoutSeconds * float64(time.Second))
 }
 
-// inheritedEnv names in the environment what the new process inherits.
+// inheritedEnv is the environment variable that lists the addresses of the inherited listeners, as a JSON array.
 const inheritedEnv = "FIELDRELAY_HANDOVER"
 
-// firstInheritedFD is the descriptor of the first inherited file; the ones before it are the standard ones.
+// firstInheritedFD is the first inherited descriptor beyond standard input, output and error: the ready pipe. The sockets
+// follow it.
 const firstInheritedFD = 3
 
-// What keeps a replacement from taking over.
+// Errors of Start when the new process does not take over.
 var (
-	ErrExited   = errors.New("handover: the new process ended before it was ready")
-	ErrTimeout  = errors.New("handover: the new process was not ready in time")
-	ErrCanceled = errors.New("handover: given up before the new process was ready")
+	ErrExited   = errors.New("handover: the new process exited before it was ready")
+	ErrTimeout  = errors.New("handover: the new process was not ready within the timeout")
+	ErrCanceled = errors.New("handover: canceled before the new process was ready")
 )
 
-// Start starts binary with args and gives it the listeners, by address. It waits until the new process is ready, for
-// patience at the most and no longer than ctx is. With an error the new process has ended and the caller goes on as before; without one the
-// caller closes its listeners and drains.
+// Start starts binary with args and passes it the listeners, keyed by address. It waits until the new process is ready, for
+// at most timeout and until ctx ends. After an error the new process has ended, and the caller continues to serve; otherwise
+// the caller closes its listeners and drains.
 func Start(ctx context.Context, binary string, args []string, listeners map[string]net.Listener, timeout time.Duration) (pid int, err error) {
 	ready, readyWriter, err := os.Pipe()
 	if err != nil {
 		return 0, err
 	}
 	defer func() { _ = ready.Close() }()
-	defer func() { _ = readyWriter.Close() }() // a second time, as a rule
+	defer func() { _ = readyWriter.Close() }() // usually closed already
 	inherited, err := duplicateAll(listeners)
 	defer inherited.close()
 	if err != nil {
@@ -74,23 +75,23 @@
 	if err != nil {
 		return 0, err
 	}
-	_ = readyWriter.Close() // so that the pipe ends with the new process
+	_ = readyWriter.Close() // so that the read of the pipe ends when the new process exits
 	if err := awaitReady(ctx, ready, timeout); err != nil {
-		_ = proc.Kill() // it may have ended
+		_ = proc.Kill() // fails if the process has exited
 		_, _ = proc.Wait()
 		return 0, err
 	}
-	go func() { _, _ = proc.Wait() }() // it outlives this process, as a rule
+	go func() { _, _ = proc.Wait() }() // the new process usually outlives this one
 	return proc.Pid, nil
 }
 
-// inheritance is the sockets that a new process gets, and their addresses in the same order.
+// inheritance holds the sockets that a new process inherits, and their addresses in the same order.
 type inheritance struct {
 	descriptors []uintptr
 	addresses   []string
 }
 
-// duplicateAll duplicates the sockets of listeners. What was duplicated must be closed, with an error too.
+// duplicateAll duplicates the sockets of listeners. The caller must close the result, even after an error.
 func duplicateAll(listeners map[string]net.Listener) (inheritance, error) {
 	var all inheritance
 	for address, listener := range listeners {
@@ -109,7 +110,7 @@
 	}
 }
 
-// startProcess starts the new process with the pipe on which it says that it is ready, and with the sockets.
+// startProcess starts the new process with the pipe on which it signals that it is ready, and with the sockets.
 func startProcess(binary string, args []string, readyWriter *os.File, inherited inheritance) (*os.Process, error) {
 	addresses, err := json.Marshal(inherited.addresses)
 	if err != nil {
@@ -126,9 +127,10 @@
 	return os.FindProcess(pid)
 }
 
-// awaitReady waits until the new process has said that it is ready. The error is one of those above.
+// awaitReady waits until the new process has signaled that it is ready. It returns ErrCanceled, ErrTimeout or ErrExited if
+// that does not happen.
 func awaitReady(ctx context.Context, ready *os.File, timeout time.Duration) error {
-	// A pipe takes deadlines until it is closed.
+	// Setting a deadline on a pipe fails only if the pipe is closed.
 	_ = ready.SetReadDeadline(time.Now().Add(timeout))
 	defer context.AfterFunc(ctx, func() { _ = ready.SetReadDeadline(time.Unix(1, 0)) })()
 	_, err := ready.Read(make([]byte, 1))
@@ -144,12 +146,12 @@
 	}
 }
 
-// signaledReady tells whether the new process has said that it is ready. A read whose deadline is over does not look, and a process
-// that has said so may serve already.
+// signaledReady reports whether the new process has signaled that it is ready. It reads the descriptor directly, since
+// os.File.Read returns without reading once its deadline has passed, and a process that has signaled may serve already.
 func signaledReady(ready *os.File) bool {
 	signaled := false
 	if raw, err := ready.SyscallConn(); err == nil {
-		_ = raw.Control(func(fd uintptr) { // fails once the pipe is closed: nothing was said then
+		_ = raw.Control(func(fd uintptr) { // fails once the pipe is closed: the process counts as not ready
 			n, err := unix.Read(int(fd), make([]byte, 1)) // the pipe does not block
 			signaled = err == nil && n == 1
 		})
@@ -157,12 +159,12 @@
 	return signaled
 }
 
-// duplicate gives a listener's descriptor a second time. os.File would make the socket a blocking one, for both
-// processes: the old one could then be caught in an accept that closing does not end.
+// duplicate returns a duplicate of a listener's descriptor. Going through os.File would make the socket blocking for both
+// processes: the old process could then be stuck in an accept that closing the listener does not end.
 func duplicate(ln net.Listener) (uintptr, error) {
 	sc, ok := ln.(syscall.Conn)
 	if !ok {
-		return 0, errors.New("no descriptor")
+		return 0, errors.New("the listener has no file descriptor")
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
@@ -176,13 +178,13 @@
 	return uintptr(fd), dupErr
 }
 
-// Inherited is what this process has been given by the one before it.
+// Inherited is what this process has inherited from the process that it replaces.
 type Inherited struct {
-	Listeners map[string]net.Listener // by address; empty if there was none before
+	Listeners map[string]net.Listener // listeners by address; empty if no process is replaced
 	ready     *os.File
 }
 
-// Inherit takes over what the environment tells of. It is called once, at the start.
+// Inherit opens the inherited descriptors that the environment lists. It must be called once, at the start.
 func Inherit() (*Inherited, error) {
 	in := &Inherited{Listeners: map[string]net.Listener{}}
 	encoded := os.Getenv(inheritedEnv)
@@ -212,10 +214,10 @@
 	return in, nil
 }
 
-// Replaces tells whether there was a process before this one that waits for Ready.
+// Replaces reports whether this process replaces another one, which waits for Ready.
 func (in *Inherited) Replaces() bool { return in.ready != nil }
 
-// Ready tells the process before this one to stop accepting.
+// Ready signals the replaced process to stop accepting. Without one it does nothing.
 func (in *Inherited) Ready() error {
 	if in.ready == nil {
 		return nil
