--- a/internal/sidecar/source/platform/contract_test.go
+++ b/internal/sidecar/source/platform/contract_test.go
@@ -41,7 +41,7 @@
 	n.told(maps.Clone(n.now))
 }
 
-var sources = contract.SourceMaker{Silence: silenceTimeout, Sign: "\n",
+var sources = contract.SourceMaker{Silence: idleTimeout, Sign: "\n",
 	Begin: func(_ contract.T, address string, told func(map[string]bool), lost func()) (contract.Source, error) {
 		a := New(address, &names{map[string]bool{}, told, lost}, nil, zerolog.Nop())
 		a.Start(endpoints.List{})
@@ -87,7 +87,7 @@
 		return m
 	}
 	deaf := wrap(nil, nil, nil)
-	deaf.Silence = 60 * silenceTimeout / 10
+	deaf.Silence = 60 * idleTimeout / 10
 	for clause, m := range map[int]contract.SourceMaker{
 		0: wrap(func(told func(map[string]bool)) func(map[string]bool) { // the last change is held back
 			return func(n map[string]bool) {
--- a/internal/sidecar/source/platform/source.go
+++ b/internal/sidecar/source/platform/source.go
@@ -28,9 +28,9 @@
 // it missed counts as notified six seconds after its last line; what a move to another address leaves out, after four
 // (PROTOCOL, LATER). A call that fails proves only that discovery could not be reached when it began: from then on, too, a
 // change counts as notified after six seconds. By the time that a call which hangs is given up, dialTimeout and
-// silenceTimeout of those have passed; of the rest, the module and KeepWatching wait for less than half.
+// idleTimeout of those have passed; of the rest, the module and KeepWatching wait for less than half.
 const (
-	silenceTimeout    = 2500 * time.Millisecond
+	idleTimeout       = 2500 * time.Millisecond
 	notifiedAfterLoss = 6 * time.Second
 	notifiedAfterMove = 4 * time.Second
 	dialTimeout       = time.Second
@@ -178,7 +178,7 @@
 	a.watch = nil
 	// What was missed by an earlier loss or a move counts as notified by then, and what this one misses from then on.
 	if !a.notifiedAt.After(time.Now()) {
-		a.notifiedAt = s.lastLine.Add(notifiedAfterLoss)
+		a.notifiedAt = s.lastLineAt.Add(notifiedAfterLoss)
 	}
 	a.sink.ListLost(a.notifiedAt)
 	if a.persistent {
--- a/internal/sidecar/source/platform/source_test.go
+++ b/internal/sidecar/source/platform/source_test.go
@@ -163,7 +163,7 @@
 			if _, err := fmt.Fprint(nc, text.Replace(strings.TrimPrefix(head, "d send ")+chunk(c.object))); err != nil {
 				t.Fatal(err)
 			}
-			beats := time.NewTicker(silenceTimeout / 5)
+			beats := time.NewTicker(idleTimeout / 5)
 			defer beats.Stop()
 			begun := time.Now()
 			ended := make(chan struct{})
@@ -171,7 +171,7 @@
 				defer close(ended)
 				for range beats.C {
 					_, err := fmt.Fprint(nc, text.Replace(chunk(`\n`)))
-					if err != nil || !strings.HasSuffix(c.object, half) && time.Since(begun) > 2*silenceTimeout {
+					if err != nil || !strings.HasSuffix(c.object, half) && time.Since(begun) > 2*idleTimeout {
 						return
 					}
 				}
@@ -190,7 +190,7 @@
 // Whatever a failed call was (refused, answered with an error, cut, or hung in its dial or after it), the next one has at least
 // half of the time that was left, and that is enough for a call: the schedule's worst case as a sum.
 func TestTheCallAfterAFailureHasTimeLeft(t *testing.T) {
-	left := notifiedAfterLoss - dialTimeout - silenceTimeout // of a call that hung to its end, from when it began
+	left := notifiedAfterLoss - dialTimeout - idleTimeout // of a call that hung to its end, from when it began
 	if call := left - left/2; call < time.Second {
 		t.Errorf("the next call has %s of the %s after which a change counts as notified", call, notifiedAfterLoss)
 	}
--- a/internal/sidecar/source/platform/stream.go
+++ b/internal/sidecar/source/platform/stream.go
@@ -27,36 +27,36 @@
 // stream is one watch: of the changes after a generation or, with 0, of the whole list. close may be called from another
 // goroutine than run.
 type stream struct {
-	addr     string
-	after    uint64
-	onEntry  func()    // called before an entry is stored
-	lastLine time.Time // when the last line arrived, or the call began; owned by run until it has returned
-	ctx      context.Context
-	cancel   context.CancelFunc
+	addr       string
+	after      uint64
+	onEntry    func()    // called before an entry is stored
+	lastLineAt time.Time // when the last line arrived, or the call began; owned by run until it has returned
+	ctx        context.Context
+	cancel     context.CancelFunc
 }
 
 func newStream(addr string, after uint64) *stream {
-	s := &stream{addr: addr, after: after, lastLine: time.Now()}
+	s := &stream{addr: addr, after: after, lastLineAt: time.Now()}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
 
 func (s *stream) close() { s.cancel() }
 
-// lineReader reads as long as a line ends within silenceTimeout. Within an object an empty line does not count: the rest of
+// lineReader reads as long as a line ends within idleTimeout. Within an object an empty line does not count: the rest of
 // that object would never arrive.
 type lineReader struct {
 	io.Reader
-	conn     net.Conn
-	lastLine *time.Time
-	decoder  **endpoints.Decoder
+	conn       net.Conn
+	lastLineAt *time.Time
+	decoder    **endpoints.Decoder
 }
 
 func (l lineReader) Read(p []byte) (int, error) {
 	n, err := l.Reader.Read(p)
 	if bytes.IndexByte(p[:n], '\n') >= 0 && (len(bytes.TrimSpace(p[:n])) > 0 || !(*l.decoder).InObject()) {
-		*l.lastLine = time.Now()
-		setDeadline(l.conn, l.lastLine.Add(silenceTimeout))
+		*l.lastLineAt = time.Now()
+		setDeadline(l.conn, l.lastLineAt.Add(idleTimeout))
 	}
 	return n, err
 }
@@ -75,14 +75,14 @@
 	defer func() { _ = conn.Close() }() // it was only read from
 	defer context.AfterFunc(s.ctx, func() { _ = conn.Close() })()
 
-	setDeadline(conn, time.Now().Add(silenceTimeout))
+	setDeadline(conn, time.Now().Add(idleTimeout))
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	if err := s.request(conn, resp); err != nil {
 		return err
 	}
 	var decoder *endpoints.Decoder
-	decoder = endpoints.NewDecoder(lineReader{resp.BodyStream(), conn, &s.lastLine, &decoder}, maxObjectBytes)
+	decoder = endpoints.NewDecoder(lineReader{resp.BodyStream(), conn, &s.lastLineAt, &decoder}, maxObjectBytes)
 	decoder.OnEntry = s.onEntry
 	for {
 		l, err := decoder.Next()
