--- a/internal/sidecar/source/endpoints/list.go
+++ b/internal/sidecar/source/endpoints/list.go
@@ -1,5 +1,5 @@
-// Package endpoints decodes the server list in the form that discovery and the stored list have: JSON objects with a
-// generation and instances. It checks each entry, and neither reads files nor connects.
+// Package endpoints decodes the server list in the format of discovery and of the stored list: JSON objects with a
+// generation and instances. It checks each entry. It does not read files or open connections.
 package endpoints
 
 import (
@@ -17,37 +17,37 @@
 // List is one object of discovery: the whole list, or the entries that changed.
 type List struct {
 	Generation uint64
-	Reset      bool // it is the whole list
+	Reset      bool // the object is the whole list
 	Instances  []Instance
 }
 
-// Instance is one server as discovery names it.
+// Instance is one server in discovery's list.
 type Instance struct {
 	ID      string
 	Addr    string
 	Zone    string
 	Cell    int
 	State   logic.State
-	Started time.Duration // Unix time of its most recent start; 0: long ago
+	Started time.Duration // Unix time of the most recent start; 0: long ago
 }
 
 var states = map[string]logic.State{"Ready": logic.Ready, "Terminating": logic.Draining, "Gone": logic.Gone}
 
 // KeyError is the error of a key with an unusable value.
 type KeyError struct {
-	Key    string // as in instances[3].hostPort
+	Key    string // path of the key, such as instances[3].hostPort
 	Reason string
 }
 
 // Error names the key and the reason.
 func (e *KeyError) Error() string { return e.Key + ": " + e.Reason }
 
-// keyError returns the error of a key of the entry at an index.
+// keyError returns a KeyError for a key of the entry at an index.
 func keyError(i int, key, format string, args ...any) error {
 	return &KeyError{fmt.Sprintf("instances[%d].%s", i, key), fmt.Sprintf(format, args...)}
 }
 
-// entryJSON is an entry in JSON.
+// entryJSON is the JSON encoding of an entry.
 type entryJSON struct {
 	ID        string `json:"instanceId"`
 	Addr      string `json:"hostPort"`
@@ -57,7 +57,7 @@
 	Started   int64  `json:"startedAtMs"`
 }
 
-// instance checks an entry and returns it. i is its index in the list, for errors.
+// instance checks an entry and converts it. i is the index of the entry in the list, for errors.
 func (e *entryJSON) instance(i int) (Instance, error) {
 	state, ok := states[e.Lifecycle]
 	_, _, err := net.SplitHostPort(e.Addr)
@@ -81,8 +81,8 @@
 // ErrTooLong is the error of an object that takes more bytes than the decoder allows.
 var ErrTooLong = errors.New("object too long")
 
-// Decoder reads a sequence of objects. It buffers no more than an entry of one, so that a list of thousands takes no second
-// and third copy of itself. It is not safe for concurrent use.
+// Decoder reads a sequence of objects. It buffers at most one entry, so that decoding a list of thousands of entries makes no
+// further copies of the list. It is not safe for concurrent use.
 type Decoder struct {
 	in       *limitedReader
 	json     *json.Decoder
@@ -91,17 +91,17 @@
 	OnEntry func()
 }
 
-// NewDecoder returns a decoder of objects of up to maxBytes each, and any white space between them.
+// NewDecoder returns a decoder of objects of up to maxBytes each, with any amount of white space between them.
 func NewDecoder(r io.Reader, maxBytes int) *Decoder {
 	in := &limitedReader{from: r}
 	return &Decoder{in: in, json: json.NewDecoder(in), maxBytes: maxBytes}
 }
 
-// limitedReader reads no more than left bytes of an object.
+// limitedReader reads at most left bytes of an object.
 type limitedReader struct {
 	from  io.Reader
 	left  int
-	begun bool // a part of the present object has been read
+	begun bool // a part of the current object has been read
 }
 
 func (b *limitedReader) Read(p []byte) (int, error) {
@@ -109,7 +109,7 @@
 		return 0, ErrTooLong
 	}
 	n, err := b.from.Read(p[:min(len(p), b.left)])
-	// White space alone, between two objects, may go on forever.
+	// White space between two objects is not limited, since an idle watch sends empty lines.
 	if len(bytes.TrimSpace(p[:n])) > 0 {
 		b.left -= n
 		b.begun = true
@@ -117,11 +117,11 @@
 	return n, err
 }
 
-// InObject reports whether an object has begun and not ended. It may be called by the reader that Next reads from.
+// InObject reports whether an object has been read in part. It may be called by the reader that Next reads from.
 func (d *Decoder) InObject() bool { return d.in.begun }
 
-// Next reads an object. At the end of the sequence it returns io.EOF. Any other error names the key at fault, and the
-// decoder cannot be used afterwards.
+// Next reads an object. At the end of the sequence it returns io.EOF. After any other error the decoder cannot be
+// used; an error about a value names its key.
 func (d *Decoder) Next() (List, error) {
 	d.in.left = d.maxBytes
 	rest, _ := io.ReadAll(d.json.Buffered())
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// unexpectedEOF replaces io.EOF, which within an object is not the end of the sequence.
+// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF: within an object it is not the end of the sequence.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -180,7 +180,7 @@
 	return err
 }
 
-// entries decodes the list of entries. null is an empty one.
+// entries decodes the list of entries. null is decoded as an empty list.
 func (d *Decoder) entries() ([]Instance, error) {
 	t, err := d.json.Token()
 	if err != nil || t == nil {
@@ -190,7 +190,7 @@
 		return nil, fmt.Errorf("instances: %v is not a list", t)
 	}
 	var all []Instance
-	zones := map[string]string{} // shares the text of equal names
+	zones := map[string]string{} // one string for each zone name, shared by its entries
 	for d.json.More() {
 		if d.OnEntry != nil {
 			d.OnEntry()
@@ -213,7 +213,7 @@
 	return all, err
 }
 
-// Parse decodes a text that is one object. The error names the key at fault.
+// Parse decodes a text that consists of one object. An error about a value names its key.
 func Parse(text []byte) (List, error) {
 	d := NewDecoder(bytes.NewReader(text), len(text)+1)
 	l, err := d.Next()
@@ -221,7 +221,7 @@
 		return List{}, unexpectedEOF(err)
 	}
 	if _, err := d.json.Token(); !errors.Is(err, io.EOF) {
-		return List{}, errors.New("more stands behind the object")
+		return List{}, errors.New("trailing data after the JSON object")
 	}
 	return l, nil
 }
--- a/internal/sidecar/source/platform/members.go
+++ b/internal/sidecar/source/platform/members.go
@@ -10,7 +10,7 @@
 	"fieldrelay/internal/sidecar/source/endpoints"
 )
 
-// update notifies the sink of a list, or a change to it, and updates ids and the charge.
+// update notifies the sink of a list or of a change to it, and updates the ids and the charge for listed entries.
 func (a *Actor) update(l endpoints.List, stored bool) {
 	a.generation = l.Generation
 	m := relay.Members{Complete: l.Reset || stored, Stored: stored, Members: make([]relay.Member, 0, len(l.Instances))}
@@ -23,7 +23,7 @@
 		entry.ID, entry.Zone, entry.Cell = a.idOf(e.ID), e.Zone, e.Cell
 		entry.State, entry.Since = e.State, e.Started
 		m.Members = append(m.Members, entry)
-		if e.State == logic.Gone { // named again, it gets the same id
+		if e.State == logic.Gone { // if it is listed again, it gets the same id: a hash of its name
 			delete(a.ids, e.ID)
 			delete(a.usedIDs, entry.ID)
 		}
@@ -34,7 +34,7 @@
 	a.sink.UpdateMembers(m)
 }
 
-// keepListed keeps the ids of the servers that a complete list names, and no others.
+// keepListed drops the ids of servers that a complete list does not name.
 func (a *Actor) keepListed(all []endpoints.Instance) {
 	previous := a.ids
 	a.ids, a.usedIDs = make(map[string]uint64, len(all)), make(map[uint64]bool, len(all))
@@ -45,8 +45,8 @@
 	}
 }
 
-// idOf returns the id by which the module knows a server: a hash of its name, so that it is the same after a restart, or
-// the next unused one if two names collide.
+// idOf returns the id by which the decision module knows a server: a hash of the server's name, so that the id is the same
+// after a restart, or the next unused id if two names collide.
 func (a *Actor) idOf(name string) uint64 {
 	if id, ok := a.ids[name]; ok {
 		return id
--- a/internal/sidecar/source/platform/source.go
+++ b/internal/sidecar/source/platform/source.go
@@ -1,7 +1,7 @@
 // Package platform obtains the server list from the platform's discovery service, or from the agent that pushes it: an
 // actor that keeps one watch open when it is requested, and notifies a sink of each change and of each loss of the watch.
-// It does not store the list, and does not decide when to watch again, except after KeepWatching. The protocol is that of
-// the platform's page PROTOCOL; the form of the entries is in package endpoints.
+// It does not store the list, and does not decide when to watch again, except after KeepWatching. The protocol is described
+// on the platform's page PROTOCOL; package endpoints decodes the entries.
 package platform
 
 import (
@@ -16,19 +16,21 @@
 	"fieldrelay/internal/sidecar/source/endpoints"
 )
 
-// Sink is notified of what discovery says. No call may block.
+// Sink is notified of the lists that discovery sends. No call may block.
 type Sink interface {
-	// UpdateMembers is the list or a change to it.
+	// UpdateMembers reports the list or a change to it.
 	UpdateMembers(relay.Members)
-	// ListLost is that the watch failed or broke off. A change that is missed counts as notified at a time.
+	// ListLost reports that the watch could not be opened or was lost. A change that is missed meanwhile counts as notified
+	// at notifiedAt.
 	ListLost(notifiedAt time.Time)
 }
 
-// Discovery writes an empty line every two seconds if nothing changes, so a watch without a line for longer is lost. What
-// it missed counts as notified six seconds after its last line; what a move to another address leaves out, after four
-// (PROTOCOL, LATER). A call that fails proves only that discovery could not be reached when it began: from then on, too, a
-// change counts as notified after six seconds. By the time that a call which hangs is given up, dialTimeout and
-// idleTimeout of those have passed; of the rest, the module and KeepWatching wait for less than half.
+// Discovery writes an empty line every two seconds if nothing changes, so a watch on which no line arrives for longer is
+// lost. A change that a lost watch missed counts as notified six seconds after the last line of the watch; a change missed by
+// a move to another address counts as notified four seconds after the move (PROTOCOL, LATER). A call that fails proves only
+// that discovery could not be reached when the call began: a change after that, too, counts as notified after six seconds. A
+// call that hangs is abandoned after dialTimeout and idleTimeout of these six seconds; the decision module and KeepWatching
+// wait for less than half of the rest.
 const (
 	idleTimeout       = 2500 * time.Millisecond
 	notifiedAfterLoss = 6 * time.Second
@@ -37,7 +39,7 @@
 	maxObjectBytes    = 1 << 20
 )
 
-// Bounds of the backoff of a watch that is kept open.
+// Bounds of the backoff between attempts to reopen a persistent watch.
 const (
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
@@ -45,9 +47,9 @@
 
 // Charges of an entry to the byte budget.
 const (
-	readBytes        = 512     // while its list is read and applied
-	listedBytes      = 1 << 10 // while it is listed, with what the relay and the module store of it
-	entriesPerCharge = 64      // entries being read that are charged at a time
+	readBytes        = 512     // charge of an entry while its list is read and applied
+	listedBytes      = 1 << 10 // charge of a listed entry, including what the relay and the decision module store for it
+	entriesPerCharge = 64      // number of entries charged at once while a list is read
 )
 
 // Actor is the source of the server list. Its methods may be called from any goroutine.
@@ -57,17 +59,17 @@
 	mailbox *mailbox.Mailbox
 	gate    *budget.Gate // nil: bytes are not counted
 
-	// What follows belongs to the actor.
+	// The fields below are owned by the actor's goroutine.
 
 	addr       string
-	generation uint64            // of the list as last notified; 0: discovery's count is not known
-	ids        map[string]uint64 // of each listed server, by name
+	generation uint64            // generation of the list last passed to the sink; 0: none known at this address
+	ids        map[string]uint64 // id of each listed server, by name
 	usedIDs    map[uint64]bool
-	charge     *budget.Charge // for the listed entries
-	watch      *stream        // the present one, or nil
-	notifiedAt time.Time      // when what is missed since the last watch counts as notified
-	persistent bool           // a watch is kept open without being requested
-	backoff    time.Duration  // longest wait before the next attempt of that
+	charge     *budget.Charge // charge for the listed entries
+	watch      *stream        // present watch, or nil
+	notifiedAt time.Time      // time at which changes missed since the last watch count as notified
+	persistent bool           // the actor keeps a watch open without Watch being called
+	backoff    time.Duration  // longest wait before the next attempt to open a persistent watch
 }
 
 // New returns a source that watches at an address, host:port.
@@ -82,9 +84,9 @@
 	a.mailbox.Put(func() { a.update(stored, true) })
 }
 
-// KeepWatching keeps a watch open from now on without Watch, for lists that the agent pushes. What the agent has counts as
-// notified at once, so neither the first call nor the one after a loss waits. The agent is this sidecar's own, so its calls
-// keep nobody else waiting.
+// KeepWatching keeps a watch open from now on without calls of Watch, for lists that the agent pushes. A change that the agent
+// has received counts as notified at once, so the first call is made at once, and the first one after a loss within minBackoff.
+// The agent serves this sidecar alone, so frequent calls delay nobody else.
 func (a *Actor) KeepWatching() {
 	a.mailbox.Put(func() {
 		a.persistent, a.backoff = true, minBackoff
@@ -92,7 +94,7 @@
 	})
 }
 
-// reopen opens the watch again after a wait with jitter, whose bound doubles until a watch brings something.
+// reopen opens the watch again after a wait with full jitter, whose bound doubles until a watch delivers a list.
 func (a *Actor) reopen() {
 	wait := rand.N(a.backoff)
 	a.backoff = min(2*a.backoff, maxBackoff)
@@ -117,8 +119,9 @@
 	go a.follow(s)
 }
 
-// SetAddr watches at another address from now on, since the old one may say nothing more. Generations there may be counted
-// in another way, so that changes since an old one would leave out what it never saw: the whole list is requested.
+// SetAddr watches at another address from now on, since the previous one may send no more changes. The new address may number
+// generations differently, so that changes after a generation of the previous address could be incomplete: the whole list is
+// requested.
 func (a *Actor) SetAddr(addr string) {
 	a.mailbox.Put(func() {
 		if addr != a.addr {
@@ -142,12 +145,12 @@
 	a.mailbox.Close()
 }
 
-// follow reads a watch to its end, on a goroutine of its own.
+// follow reads a watch until it ends. It runs on its own goroutine.
 func (a *Actor) follow(s *stream) {
 	reading := &readCharges{gate: a.gate}
 	s.onEntry = reading.add
 	requested := time.Now()
-	begun := false // belongs to the actor
+	begun := false // owned by the actor's goroutine
 	err := s.run(func(l endpoints.List) {
 		charges := reading.take()
 		accepted := a.mailbox.Put(func() {
@@ -176,7 +179,8 @@
 // onLost notifies the sink that the present watch is lost.
 func (a *Actor) onLost(s *stream) {
 	a.watch = nil
-	// What was missed by an earlier loss or a move counts as notified by then, and what this one misses from then on.
+	// If an earlier loss or a move has set notifiedAt to a time in the future, it stands; otherwise changes missed by this loss
+	// set it.
 	if !a.notifiedAt.After(time.Now()) {
 		a.notifiedAt = s.lastLineAt.Add(notifiedAfterLoss)
 	}
@@ -186,22 +190,23 @@
 	}
 }
 
-// readCharges are the charges of the entries that are being read. A list cannot wait for bytes, since what it has as
-// draining must be left at once: it takes what it needs, and admission is closed meanwhile.
+// readCharges holds the charges for the entries of a list that is being read. Reading a list does not wait for free bytes,
+// since servers that it lists as draining must get no more requests at once: it reserves what it needs, and admission is closed
+// meanwhile.
 type readCharges struct {
 	gate    *budget.Gate
 	entries int
 	charges []*budget.Charge
 }
 
-// add charges one more entry.
+// add counts an entry, and reserves bytes for entriesPerCharge entries at the first of each group.
 func (r *readCharges) add() {
 	if r.entries++; r.entries%entriesPerCharge == 1 {
 		r.charges = append(r.charges, r.gate.ForceReserve(budget.Lists, entriesPerCharge*readBytes))
 	}
 }
 
-// take returns the charges so far as ones of their own, and begins anew.
+// take returns the charges so far, to be released separately, and resets r.
 func (r *readCharges) take() *readCharges {
 	taken := *r
 	r.entries, r.charges = 0, nil
--- a/internal/sidecar/source/platform/stream.go
+++ b/internal/sidecar/source/platform/stream.go
@@ -18,19 +18,19 @@
 // errWatchEnded is the error of a watch that discovery has ended.
 var errWatchEnded = errors.New("discovery ended the watch")
 
-// statusError is the error of a call that discovery answered with another status than 200.
+// statusError is the error of a call that discovery answered with a status other than 200.
 type statusError int
 
 // Error names the status.
 func (e statusError) Error() string { return fmt.Sprintf("discovery answered %d", int(e)) }
 
-// stream is one watch: of the changes after a generation or, with 0, of the whole list. close may be called from another
-// goroutine than run.
+// stream is one watch of the changes after a generation or, if that is 0, of the whole list. close may be called from a
+// goroutine other than that of run.
 type stream struct {
 	addr       string
 	after      uint64
 	onEntry    func()    // called before an entry is stored
-	lastLineAt time.Time // when the last line arrived, or the call began; owned by run until it has returned
+	lastLineAt time.Time // time at which the last line arrived, or the call began; owned by run until it has returned
 	ctx        context.Context
 	cancel     context.CancelFunc
 }
@@ -43,8 +43,8 @@
 
 func (s *stream) close() { s.cancel() }
 
-// lineReader reads as long as a line ends within idleTimeout. Within an object an empty line does not count: the rest of
-// that object would never arrive.
+// lineReader extends the deadline of the connection by idleTimeout at each end of a line. Within an object an empty line does
+// not extend it, since the rest of the object may never arrive.
 type lineReader struct {
 	io.Reader
 	conn       net.Conn
@@ -61,10 +61,10 @@
 	return n, err
 }
 
-// setDeadline sets a deadline. Its error is left to the next read or write, which fails on a closed connection.
+// setDeadline sets a deadline and ignores the error: on a closed connection the next read or write fails.
 func setDeadline(conn net.Conn, t time.Time) { _ = conn.SetDeadline(t) }
 
-// run opens the watch and calls update with each object, until the watch ends. It never returns nil.
+// run opens the watch and calls update with each object until the watch ends. The error is never nil.
 func (s *stream) run(update func(endpoints.List)) error {
 	defer s.cancel()
 	dialer := net.Dialer{Timeout: dialTimeout}
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = conn.Close() }() // it was only read from
+	defer func() { _ = conn.Close() }() // nothing that was written can be lost
 	defer context.AfterFunc(s.ctx, func() { _ = conn.Close() })()
 
 	setDeadline(conn, time.Now().Add(idleTimeout))
@@ -92,7 +92,7 @@
 		case errors.As(err, new(net.Error)):
 			return err
 		case err != nil:
-			return fmt.Errorf("malformed list: %w", err)
+			return fmt.Errorf("discovery sent a malformed list: %w", err)
 		}
 		update(l)
 	}
