--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -198,7 +198,7 @@
 	}
 	b, err := logic.New(cfg, seed)
 	if err != nil {
-		wire.Note(&h.reply, "BROKEN", inst, err.Error())
+		wire.WriteText(&h.reply, "BROKEN", inst, err.Error())
 		return nil
 	}
 	h.instances[inst] = b
@@ -209,12 +209,12 @@
 func (h *host) step(inst uint64, b *logic.Balancer, now time.Duration, ev *logic.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			wire.Note(&h.reply, "BROKEN", inst, fmt.Sprint("panic: ", p))
+			wire.WriteText(&h.reply, "BROKEN", inst, fmt.Sprint("panic: ", p))
 			delete(h.instances, inst)
 		}
 	}()
 	h.acts = b.Step(now, ev, h.acts[:0])
 	for i := range h.acts {
-		wire.Action(&h.reply, inst, &h.acts[i])
+		wire.WriteAction(&h.reply, inst, &h.acts[i])
 	}
 }
--- a/internal/sidecar/wire/wire.go
+++ b/internal/sidecar/wire/wire.go
@@ -190,8 +190,8 @@
 	return s.Logic()
 }
 
-// Action prints one action of an instance as a line.
-func Action(out *bytes.Buffer, inst uint64, a *logic.Action) {
+// WriteAction prints one action of an instance as a line.
+func WriteAction(out *bytes.Buffer, inst uint64, a *logic.Action) {
 	switch a.Kind {
 	case logic.ActSend:
 		line(out, "PLACE", inst, "ref", a.Request, "server", a.Server)
@@ -212,14 +212,14 @@
 	case logic.ActCloseIdle:
 		line(out, "RELEASE", inst, "server", a.Server)
 	case logic.ActLog:
-		Note(out, "DEBUG", inst, a.Text)
+		WriteText(out, "DEBUG", inst, a.Text)
 		return
 	}
 	out.WriteByte('\n')
 }
 
-// Note prints a line with a text, such as a log line or a fault.
-func Note(out *bytes.Buffer, tag string, inst uint64, text string) {
+// WriteText prints a line with a text, such as a log line or a fault.
+func WriteText(out *bytes.Buffer, tag string, inst uint64, text string) {
 	line(out, tag, inst)
 	out.WriteString(" note_text=")
 	out.WriteString(strings.Join(strings.Fields(text), " "))
