--- a/internal/sidecar/wire/wire.go
+++ b/internal/sidecar/wire/wire.go
@@ -22,8 +22,8 @@
 
 type field struct{ name, value string }
 
-// restOfLine names the fields whose value runs to the end of the line.
-func restOfLine(name string) bool { return name == "settings" || name == "note_text" }
+// extendsToEnd names the fields whose value runs to the end of the line.
+func extendsToEnd(name string) bool { return name == "settings" || name == "note_text" }
 
 // ParseLine takes a line apart. The buffer is reused for its parts.
 func ParseLine(text string, line *Line) error {
@@ -38,7 +38,7 @@
 		if !ok || name == "" {
 			return fmt.Errorf("%s: part %q is not name=value", tag, rest)
 		}
-		if restOfLine(name) {
+		if extendsToEnd(name) {
 			rest = ""
 		} else {
 			value, rest, _ = strings.Cut(value, " ")
@@ -58,11 +58,11 @@
 	return "", false
 }
 
-// Int gives a whole number; an absent field is 0 unless it is needed.
-func (l *Line) Int(name string, needed bool) (uint64, error) {
+// Int gives a whole number; an absent field is 0 unless it is required.
+func (l *Line) Int(name string, required bool) (uint64, error) {
 	text, ok := l.Text(name)
 	if !ok {
-		if needed {
+		if required {
 			return 0, fmt.Errorf("%s: no %s", l.Tag, name)
 		}
 		return 0, nil
@@ -75,10 +75,10 @@
 }
 
 // Time gives a time in milliseconds as a duration.
-func (l *Line) Time(name string, needed bool) (time.Duration, error) {
+func (l *Line) Time(name string, required bool) (time.Duration, error) {
 	text, ok := l.Text(name)
 	if !ok {
-		if needed {
+		if required {
 			return 0, fmt.Errorf("%s: no %s", l.Tag, name)
 		}
 		return 0, nil
@@ -194,23 +194,23 @@
 func WriteAction(out *bytes.Buffer, inst uint64, a *logic.Action) {
 	switch a.Kind {
 	case logic.ActSend:
-		line(out, "PLACE", inst, "ref", a.Request, "server", a.Server)
-		duration(out, "timeout_ms", a.After)
+		writeLine(out, "PLACE", inst, "ref", a.Request, "server", a.Server)
+		writeDuration(out, "timeout_ms", a.After)
 	case logic.ActCancel:
-		line(out, "CALL_OFF", inst, "ref", a.Request, "send_no", uint64(a.Attempt))
+		writeLine(out, "CALL_OFF", inst, "ref", a.Request, "send_no", uint64(a.Attempt))
 	case logic.ActReject:
-		line(out, "SHED", inst, "ref", a.Request)
-		duration(out, "not_before_for_ms", a.After)
+		writeLine(out, "SHED", inst, "ref", a.Request)
+		writeDuration(out, "not_before_for_ms", a.After)
 	case logic.ActFail:
-		line(out, "FAIL", inst, "ref", a.Request)
+		writeLine(out, "FAIL", inst, "ref", a.Request)
 	case logic.ActWake:
-		line(out, "WAKE_ME", inst)
-		duration(out, "when_ms", a.At)
+		writeLine(out, "WAKE_ME", inst)
+		writeDuration(out, "when_ms", a.At)
 		fmt.Fprintf(out, " token=%d.%d", a.Timer.Kind, a.Timer.ID)
 	case logic.ActWatch:
-		line(out, "WATCH", inst, "want", uint64(1))
+		writeLine(out, "WATCH", inst, "want", uint64(1))
 	case logic.ActCloseIdle:
-		line(out, "RELEASE", inst, "server", a.Server)
+		writeLine(out, "RELEASE", inst, "server", a.Server)
 	case logic.ActLog:
 		WriteText(out, "DEBUG", inst, a.Text)
 		return
@@ -220,28 +220,28 @@
 
 // WriteText prints a line with a text, such as a log line or a fault.
 func WriteText(out *bytes.Buffer, tag string, inst uint64, text string) {
-	line(out, tag, inst)
+	writeLine(out, tag, inst)
 	out.WriteString(" note_text=")
 	out.WriteString(strings.Join(strings.Fields(text), " "))
 	out.WriteByte('\n')
 }
 
-func line(out *bytes.Buffer, tag string, inst uint64, fields ...any) {
+func writeLine(out *bytes.Buffer, tag string, inst uint64, fields ...any) {
 	out.WriteString(tag)
-	number(out, "i", inst)
+	writeUint(out, "i", inst)
 	for k := 0; k+1 < len(fields); k += 2 {
-		number(out, fields[k].(string), fields[k+1].(uint64))
+		writeUint(out, fields[k].(string), fields[k+1].(uint64))
 	}
 }
 
-func number(out *bytes.Buffer, name string, v uint64) {
+func writeUint(out *bytes.Buffer, name string, v uint64) {
 	out.WriteByte(' ')
 	out.WriteString(name)
 	out.WriteByte('=')
 	out.Write(strconv.AppendUint(out.AvailableBuffer(), v, 10))
 }
 
-func duration(out *bytes.Buffer, name string, d time.Duration) {
+func writeDuration(out *bytes.Buffer, name string, d time.Duration) {
 	out.WriteByte(' ')
 	out.WriteString(name)
 	out.WriteByte('=')
