--- a/internal/sidecar/wire/wire.go
+++ b/internal/sidecar/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire parses and prints the simulator's lines. It decides nothing.
+// Package wire parses and prints the lines of the simulator's protocol. It makes no decisions.
 package wire
 
 import (
@@ -14,7 +14,7 @@
 	"fieldrelay/internal/sidecar/logic"
 )
 
-// Line is one line of the wire: its tag and its name=value parts.
+// Line is one line of the protocol: a tag and name=value fields.
 type Line struct {
 	Tag    string
 	fields []field
@@ -22,10 +22,10 @@
 
 type field struct{ name, value string }
 
-// extendsToEnd names the fields whose value runs to the end of the line.
+// extendsToEnd reports whether the value of a field extends to the end of the line, spaces included.
 func extendsToEnd(name string) bool { return name == "settings" || name == "note_text" }
 
-// ParseLine takes a line apart. The buffer is reused for its parts.
+// ParseLine parses a line into line, whose buffer of fields is reused.
 func ParseLine(text string, line *Line) error {
 	line.fields = line.fields[:0]
 	tag, rest, _ := strings.Cut(text, " ")
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// Text gives the value of a field and whether it is there.
+// Text returns the value of a field and whether the line has the field.
 func (l *Line) Text(name string) (string, bool) {
 	for _, p := range l.fields {
 		if p.name == name {
@@ -58,7 +58,7 @@
 	return "", false
 }
 
-// Int gives a whole number; an absent field is 0 unless it is required.
+// Int returns the value of a field that is a whole number. An absent field is 0, or an error if it is required.
 func (l *Line) Int(name string, required bool) (uint64, error) {
 	text, ok := l.Text(name)
 	if !ok {
@@ -74,7 +74,7 @@
 	return n, nil
 }
 
-// Time gives a time in milliseconds as a duration.
+// Time returns the value of a field in milliseconds as a duration. An absent field is 0, or an error if it is required.
 func (l *Line) Time(name string, required bool) (time.Duration, error) {
 	text, ok := l.Text(name)
 	if !ok {
@@ -98,7 +98,7 @@
 
 var states = map[string]logic.State{"live": logic.Ready, "quiescing": logic.Draining, "dead": logic.Gone}
 
-// Entry reads one ENTRY line.
+// Entry decodes an ENTRY line.
 func (l *Line) Entry() (logic.Server, error) {
 	var s logic.Server
 	if l.Tag != "ENTRY" {
@@ -120,8 +120,9 @@
 	return s, errors.Join(errs[:]...)
 }
 
-// Event reads an event of the balancer. It gives false for a tag that carries
-// none (one that is not known, or that this library has no use for).
+// Event decodes an event for the balancer. It returns false for a line that
+// carries none: one whose tag is unknown or not used here, or a REMINDER
+// whose token is not one of this library.
 func (l *Line) Event(ev *logic.Event) (bool, error) {
 	var errs [4]error
 	*ev = logic.Event{}
@@ -153,7 +154,7 @@
 		kind, ref, _ := strings.Cut(token, ".")
 		k, err1 := strconv.ParseUint(kind, 10, 8)
 		id, err2 := strconv.ParseUint(ref, 10, 64)
-		if err1 != nil || err2 != nil { // not one of ours: no timer to wake for
+		if err1 != nil || err2 != nil { // the token was not written by WriteAction: it belongs to no timer
 			return false, nil
 		}
 		ev.Timer = logic.Timer{Kind: logic.TimerKind(k), ID: id}
@@ -181,7 +182,7 @@
 	return errors.Join(errs[:]...)
 }
 
-// Settings reads the settings of an instance. Keys that are not known are ignored.
+// Settings decodes the settings of an instance. Unknown keys are ignored.
 func Settings(text string) (logic.Config, error) {
 	s, err := config.ParseSettings([]byte(text))
 	if err != nil {
@@ -190,7 +191,7 @@
 	return s.Logic()
 }
 
-// WriteAction prints one action of an instance as a line.
+// WriteAction appends the line for one action of an instance to out.
 func WriteAction(out *bytes.Buffer, inst uint64, a *logic.Action) {
 	switch a.Kind {
 	case logic.ActSend:
@@ -218,7 +219,8 @@
 	out.WriteByte('\n')
 }
 
-// WriteText prints a line with a text, such as a log line or a fault.
+// WriteText appends a line with a text, such as a log line or a fault, to out. White space in the text becomes single
+// spaces.
 func WriteText(out *bytes.Buffer, tag string, inst uint64, text string) {
 	writeLine(out, tag, inst)
 	out.WriteString(" note_text=")
