--- a/internal/sidecar/manage/command.go
+++ b/internal/sidecar/manage/command.go
@@ -32,14 +32,14 @@
 // fleetKeyword behind the id of SUSPEND or RESTORE means the whole fleet.
 const fleetKeyword = "fleet"
 
-// mostID bounds an execute node's id, in bytes.
-const mostID = 256
+// maxIDBytes bounds an execute node's id, in bytes.
+const maxIDBytes = 256
 
 // Command is one line read.
 type Command struct {
-	Verb Verb
-	ID   string // of SUSPEND and RESTORE
-	All  bool   // of those: for the whole fleet
+	Verb  Verb
+	ID    string // of SUSPEND and RESTORE
+	Fleet bool   // of those: for the whole fleet
 }
 
 var takesID = map[Verb]bool{Status: false, Metrics: false, Suspend: true, Restore: true, Pause: false, Resume: false, Peers: false, Quotas: false, Verdicts: false, Rules: false, Recover: false}
@@ -59,12 +59,12 @@
 		return Command{}, errors.New(string(verb) + " takes one id, and fleet behind it for the whole fleet")
 	case !withID && len(fields) != 1:
 		return Command{}, errors.New(string(verb) + " takes nothing more")
-	case withID && len(fields[1]) > mostID:
+	case withID && len(fields[1]) > maxIDBytes:
 		return Command{}, errors.New("id longer than 256 bytes")
 	}
 	c := Command{Verb: verb}
 	if withID {
-		c.ID, c.All = fields[1], len(fields) == 3
+		c.ID, c.Fleet = fields[1], len(fields) == 3
 	}
 	return c, nil
 }
--- a/internal/sidecar/manage/manage_test.go
+++ b/internal/sidecar/manage/manage_test.go
@@ -79,12 +79,12 @@
 		{"SUSPEND n1 all", "fail"},
 		{"STATUS fleet", "fail"},
 	} {
-		got := Do(f, c.line)
+		got := Execute(f, c.line)
 		if !strings.HasPrefix(got[0], c.first) {
 			t.Errorf("%q: %q, want %s", c.line, got, c.first)
 		}
 	}
-	if got := Do(f, "METRICS"); len(got) != 3 || got[1] != "lb.inflight:2|g" || got[2] != "eof" {
+	if got := Execute(f, "METRICS"); len(got) != 3 || got[1] != "lb.inflight:2|g" || got[2] != "eof" {
 		t.Errorf("METRICS: %q", got)
 	}
 }
--- a/internal/sidecar/manage/server.go
+++ b/internal/sidecar/manage/server.go
@@ -44,15 +44,15 @@
 	// A caller has this long to send its line: one that sends nothing holds one place, not the address.
 	readTimeout  = 2 * time.Second
 	writeTimeout = 2 * time.Second
-	// MostCallers bounds the connections served at once. One over it is closed unread.
-	MostCallers = 64
+	// maxConnections bounds the connections served at once. One over it is closed unread.
+	maxConnections = 64
 )
 
 // Server answers commands on one listener.
 type Server struct {
 	handler Handler
 	log     zerolog.Logger
-	places  chan struct{}
+	slots   chan struct{}
 	ln      net.Listener
 	wg      sync.WaitGroup
 }
@@ -68,7 +68,7 @@
 
 // Serve serves a listener until Close. The process before this one may have had it.
 func Serve(ln net.Listener, h Handler, log zerolog.Logger) *Server {
-	s := &Server{handler: h, log: log, places: make(chan struct{}, MostCallers), ln: ln}
+	s := &Server{handler: h, log: log, slots: make(chan struct{}, maxConnections), ln: ln}
 	s.wg.Add(1)
 	go s.serve()
 	return s
@@ -98,7 +98,7 @@
 			return
 		}
 		select {
-		case s.places <- struct{}{}:
+		case s.slots <- struct{}{}:
 		default:
 			_ = nc.Close()
 			continue
@@ -106,7 +106,7 @@
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
-			defer func() { <-s.places }()
+			defer func() { <-s.slots }()
 			s.answer(nc)
 		}()
 	}
@@ -128,7 +128,7 @@
 	if nc.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 		return
 	}
-	s.write(nc, Do(s.handler, strings.TrimRight(string(line), "\r\n")))
+	s.write(nc, Execute(s.handler, strings.TrimRight(string(line), "\r\n")))
 }
 
 func (s *Server) write(nc net.Conn, lines []string) {
@@ -140,8 +140,8 @@
 	_, _ = nc.Write([]byte(b.String())) // the caller may have gone
 }
 
-// Do carries out one line and gives the lines of its answer.
-func Do(h Handler, line string) []string {
+// Execute carries out one line and gives the lines of its answer.
+func Execute(h Handler, line string) []string {
 	c, err := Parse(line)
 	if err != nil {
 		return []string{"fail " + err.Error()}
@@ -159,7 +159,7 @@
 		if c.Verb == Restore {
 			do = h.Restore
 		}
-		if c.All {
+		if c.Fleet {
 			do = func(id string) error { return h.SuspendFleet(id, c.Verb == Suspend) }
 		}
 		if err := do(c.ID); err != nil {
@@ -167,8 +167,8 @@
 		}
 		return []string{"ok " + strings.ToLower(string(c.Verb)) + " " + c.ID}
 	case Peers, Quotas, Verdicts, Rules:
-		ask := map[Verb]func() ([]string, error){Peers: h.Peers, Quotas: h.Quotas, Verdicts: h.Verdicts, Rules: h.Rules}[c.Verb]
-		lines, err := ask()
+		query := map[Verb]func() ([]string, error){Peers: h.Peers, Quotas: h.Quotas, Verdicts: h.Verdicts, Rules: h.Rules}[c.Verb]
+		lines, err := query()
 		if err != nil {
 			return []string{"fail " + err.Error()}
 		}
