--- a/internal/sidecar/manage/command.go
+++ b/internal/sidecar/manage/command.go
@@ -1,6 +1,6 @@
-// Package manage is the management address: one command a connection, one
-// line in, an answer that begins with ok or fail out. It decides nothing; what
-// a command does is the Handler's.
+// Package manage serves the management address: a client sends one command
+// line per connection, and receives an answer that begins with ok or fail. A
+// Handler carries out the commands.
 package manage
 
 import (
@@ -13,38 +13,38 @@
 
 // The commands.
 const (
-	Status   Verb = "STATUS"   // ok while the process takes clients
-	Metrics  Verb = "METRICS"  // the figures, then a line eof
-	Suspend  Verb = "SUSPEND"  // nothing new to execute node ID
-	Restore  Verb = "RESTORE"  // execute node ID back
-	Pause    Verb = "PAUSE"    // send clients away: /ready says no, kept connections end
-	Resume   Verb = "RESUME"   // take clients again
+	Status   Verb = "STATUS"   // ok while the process is ready for clients
+	Metrics  Verb = "METRICS"  // the metrics, then a line eof
+	Suspend  Verb = "SUSPEND"  // send no new requests to execute node ID
+	Restore  Verb = "RESTORE"  // end the suspension of execute node ID
+	Pause    Verb = "PAUSE"    // /ready answers not ready, and idle connections are closed
+	Resume   Verb = "RESUME"   // end PAUSE
 	Peers    Verb = "PEERS"    // the members of the fleet, then a line eof
 	Quotas   Verb = "QUOTAS"   // the limits of the fleet, then a line eof
-	Verdicts Verb = "VERDICTS" // what the fleet says of execute nodes, then a line eof
-	Rules    Verb = "RULES"    // the editions of rules, then a line eof
-	Recover  Verb = "RECOVER"  // the majority of the fleet's voters is lost for good: begin anew with this one
+	Verdicts Verb = "VERDICTS" // the fleet's decisions on the health of execute nodes, then a line eof
+	Rules    Verb = "RULES"    // the rules in force and those being distributed, then a line eof
+	Recover  Verb = "RECOVER"  // restart the voter group from this process, after the permanent loss of its majority
 )
 
-// MaxLineBytes bounds a command line, in bytes with its end.
+// MaxLineBytes bounds a command line in bytes, including its line end.
 const MaxLineBytes = 512
 
-// fleetKeyword behind the id of SUSPEND or RESTORE means the whole fleet.
+// fleetKeyword after the id of SUSPEND or RESTORE applies the command to the whole fleet.
 const fleetKeyword = "fleet"
 
 // maxIDBytes bounds an execute node's id, in bytes.
 const maxIDBytes = 256
 
-// Command is one line read.
+// Command is a parsed command line.
 type Command struct {
 	Verb  Verb
-	ID    string // of SUSPEND and RESTORE
-	Fleet bool   // of those: for the whole fleet
+	ID    string // id of the execute node, for SUSPEND and RESTORE
+	Fleet bool   // SUSPEND or RESTORE applies to the whole fleet
 }
 
 var takesID = map[Verb]bool{Status: false, Metrics: false, Suspend: true, Restore: true, Pause: false, Resume: false, Peers: false, Quotas: false, Verdicts: false, Rules: false, Recover: false}
 
-// Parse reads a line without its end. Verbs are taken in any case; an id is taken as it is written.
+// Parse parses a command line without its line end. Verbs are case-insensitive, ids are not.
 func Parse(line string) (Command, error) {
 	fields := strings.Fields(line)
 	if len(fields) == 0 {
@@ -69,7 +69,7 @@
 	return c, nil
 }
 
-// quote shows what was read without letting it break the answer's line.
+// quote shortens s to 32 bytes and replaces unprintable characters, so that it can stand in a line of an answer.
 func quote(s string) string {
 	if len(s) > 32 {
 		s = s[:32]
--- a/internal/sidecar/manage/server.go
+++ b/internal/sidecar/manage/server.go
@@ -12,39 +12,42 @@
 	"github.com/rs/zerolog"
 )
 
-// Handler carries out commands. Each method must come back at once: it may not wait for the data path.
+// Handler carries out commands. Its methods must return quickly: they must not wait for the data path.
 type Handler interface {
-	// Ready answers STATUS: whether the process takes clients.
+	// Ready answers STATUS: whether the process is ready for clients.
 	Ready() bool
-	// Figures answers METRICS: StatsD lines without their ends.
+	// Figures answers METRICS: StatsD lines without line ends.
 	Figures() []string
 	// Suspend carries out SUSPEND ID; an unknown id is an error.
 	Suspend(id string) error
 	// Restore carries out RESTORE ID; an unknown id is an error.
 	Restore(id string) error
-	// Pause sends clients away.
+	// Pause makes the readiness check fail and closes idle connections, until Resume.
 	Pause()
-	// Resume takes clients again.
+	// Resume ends Pause.
 	Resume()
-	// Peers answers PEERS: a line a member of the fleet; an error where there is none.
+	// Peers answers PEERS: a line for each member of the fleet, or an error if there is no fleet.
 	Peers() ([]string, error)
-	// Quotas answers QUOTAS: a line a limit of the fleet; an error where there is none.
+	// Quotas answers QUOTAS: a line for each limit of the fleet, or an error if there is no fleet.
 	Quotas() ([]string, error)
-	// Verdicts answers VERDICTS: a line for each execute node that is spoken of; an error where no verdicts are made.
+	// Verdicts answers VERDICTS: a line for each execute node whose health the fleet has decided on, or an error if the fleet
+	// makes no such decisions.
 	Verdicts() ([]string, error)
-	// Rules answers RULES: the rules in force and those on their way; an error where there are none.
+	// Rules answers RULES: the rules in force and those being distributed, or an error if there are none.
 	Rules() ([]string, error)
-	// SuspendFleet carries out SUSPEND ID fleet and RESTORE ID fleet: for all members; an error where there is no fleet.
+	// SuspendFleet carries out SUSPEND ID fleet and RESTORE ID fleet, for all members, or returns an error if there is no fleet.
 	SuspendFleet(id string, suspended bool) error
-	// Recover carries out RECOVER: the fleet's voters begin anew with this process; an error where there is no fleet.
+	// Recover carries out RECOVER: it restarts the fleet's voter group from this process, or returns an error if there is no
+	// fleet.
 	Recover() error
 }
 
 const (
-	// A caller has this long to send its line: one that sends nothing holds one place, not the address.
+	// readTimeout is the time in which a client must send its line, so that one that sends nothing does not occupy a slot
+	// forever.
 	readTimeout  = 2 * time.Second
 	writeTimeout = 2 * time.Second
-	// maxConnections bounds the connections served at once. One over it is closed unread.
+	// maxConnections bounds the connections served at once. A connection beyond it is closed unread.
 	maxConnections = 64
 )
 
@@ -66,7 +69,7 @@
 	return Serve(ln, h, log), nil
 }
 
-// Serve serves a listener until Close. The process before this one may have had it.
+// Serve serves a listener until Close. The listener may have been inherited from the replaced process.
 func Serve(ln net.Listener, h Handler, log zerolog.Logger) *Server {
 	s := &Server{handler: h, log: log, slots: make(chan struct{}, maxConnections), ln: ln}
 	s.wg.Add(1)
@@ -74,13 +77,13 @@
 	return s
 }
 
-// Listener is what it listens on, for a process that goes on with it.
+// Listener returns the listener, to be handed over to a new process.
 func (s *Server) Listener() net.Listener { return s.ln }
 
-// Addr is where it listens.
+// Addr returns the address of the listener.
 func (s *Server) Addr() net.Addr { return s.ln.Addr() }
 
-// Close stops taking callers and waits for those being answered.
+// Close stops accepting connections and waits for the answers in progress.
 func (s *Server) Close() error {
 	err := s.ln.Close()
 	s.wg.Wait()
@@ -93,7 +96,7 @@
 		nc, err := s.ln.Accept()
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) {
-				s.log.Error().Err(err).Msg("management address fails")
+				s.log.Error().Err(err).Msg("management address: accept failed, no more commands are served")
 			}
 			return
 		}
@@ -112,11 +115,11 @@
 	}
 }
 
-// answer reads one line and writes its answer.
+// answer reads one command line and writes its answer.
 func (s *Server) answer(nc net.Conn) {
 	defer func() { _ = nc.Close() }()
 	if nc.SetReadDeadline(time.Now().Add(readTimeout)) != nil {
-		return // it is closed already
+		return // the connection is closed already
 	}
 	line, err := bufio.NewReaderSize(nc, MaxLineBytes).ReadSlice('\n')
 	if err != nil && (!errors.Is(err, io.EOF) || len(line) == 0) {
@@ -137,10 +140,10 @@
 		b.WriteString(l)
 		b.WriteByte('\n')
 	}
-	_, _ = nc.Write([]byte(b.String())) // the caller may have gone
+	_, _ = nc.Write([]byte(b.String())) // an error means that the client has disconnected
 }
 
-// Execute carries out one line and gives the lines of its answer.
+// Execute carries out one command line and returns the lines of its answer.
 func Execute(h Handler, line string) []string {
 	c, err := Parse(line)
 	if err != nil {
