--- a/internal/sidecar/mailbox/mailbox.go
+++ b/internal/sidecar/mailbox/mailbox.go
@@ -1,12 +1,12 @@
 // Package mailbox is the message queue of an actor: any goroutine may put a message, and the one goroutine that runs the
-// mailbox owns the actor's state. It neither bounds its length nor reports what became of a message; an actor that has to
-// answer does so by a message to the sender's mailbox.
+// mailbox owns the actor's state. A mailbox neither bounds its length nor reports the result of a message; an actor that
+// has to answer puts a message into the sender's mailbox.
 package mailbox
 
 import "sync"
 
 // Mailbox is an unbounded first-in-first-out queue of messages, which are functions that the actor's goroutine calls. Put
-// never blocks, so that two actors that send to one another cannot deadlock. What enters the process is bounded by the
+// never blocks, so that two actors that send to one another cannot deadlock. The input of the process is bounded by the
 // number of its connections. A Mailbox is safe for concurrent use, except that one goroutine at a time may call Run.
 type Mailbox struct {
 	mu     sync.Mutex
--- a/internal/sidecar/memorytuner/plan.go
+++ b/internal/sidecar/memorytuner/plan.go
@@ -1,57 +1,59 @@
 package memorytuner
 
-// How the limit of the process is divided.
+// Parameters of the division of the process's memory limit.
 const (
-	marginFraction   = 0.06    // of the limit is left free, at least minMargin:
-	minMargin        = 5 << 19 // bytes; a collector that gets no core for a moment finishes late
-	liveFraction     = 0.7     // of the rest may be live: with less for garbage, the collector never stops
-	minHeap          = 2 << 20 // bytes beyond the floor, without which no budget can work
-	shrinkFraction   = 0.5     // of the excess is taken from the budget at a check
-	growFraction     = 0.05    // of the full size is returned to it at a check
-	shrinkAbove      = 0.95    // of the limit: more resident memory is too much
-	growBelow        = 0.85    // of the limit: with less resident memory the budget may grow
+	marginFraction   = 0.06    // fraction of the limit left free, since a collector that gets no core for a moment finishes late
+	minMargin        = 5 << 19 // lower bound of the free margin in bytes
+	liveFraction     = 0.7     // fraction of the remaining memory that may be live; with less garbage space the collector never stops
+	minHeap          = 2 << 20 // bytes beyond the floor without which no budget can work
+	shrinkFraction   = 0.5     // fraction of the excess that the budget shrinks by at a check
+	growFraction     = 0.05    // fraction of the full size that the budget grows by at a check
+	shrinkAbove      = 0.95    // fraction of the limit: the budget shrinks while more memory is resident
+	growBelow        = 0.85    // fraction of the limit: the budget may grow while less memory is resident
 	maxGCPercent     = 100     // the runtime's default (GOGC)
-	minGCPercent     = 25
-	untouchedProgram = 1 << 20 // bytes of the program that are first touched when it serves
+	minGCPercent     = 25      // lower bound of the collector's percentage
+	untouchedProgram = 1 << 20 // bytes of the program that are not resident until it serves
 )
 
-// Plan divides a memory limit. It is the decision alone: no I/O or clock.
+// Plan divides a memory limit. Its methods are pure: they use no I/O or clock.
 type Plan struct {
-	Limit int64 // bytes, of the process
-	Floor int64 // bytes that it takes before it serves
+	Limit int64 // memory limit of the process in bytes
+	Floor int64 // bytes that the process uses before it serves
 	File  int64 // bytes allowed for pages of files
 }
 
-// NewPlan returns a plan from the sizes of a process that does not serve yet. More of its program is touched once it does.
+// NewPlan returns a plan from the sizes of a process that does not serve yet. It adds untouchedProgram, the part of the
+// program that becomes resident once the process serves.
 func NewPlan(limit int64, sizes Sizes) Plan {
 	return Plan{Limit: limit, Floor: sizes.Resident + untouchedProgram, File: sizes.File + untouchedProgram}
 }
 
-// usable is the limit without its margin.
+// usable returns the limit without the free margin.
 func (p Plan) usable() int64 { return p.Limit - max(int64(marginFraction*float64(p.Limit)), minMargin) }
 
-// Budget is the number of live bytes that may be reserved.
+// Budget returns the number of live bytes that may be reserved.
 func (p Plan) Budget() int64 {
 	return int64(liveFraction * float64(max(p.usable()-p.Floor, minHeap)))
 }
 
-// Collector returns the soft limit of the Go runtime in bytes and its percentage (GOMEMLIMIT and GOGC) for so many reserved
-// bytes. With the limit alone the runtime would collect without pause once it comes near it. What the runtime counts and
-// the system does not is no memory: with it left in, a small limit was reached while a quarter of it was free.
+// Collector returns the soft memory limit of the Go runtime in bytes and the collector's percentage (GOMEMLIMIT and GOGC) for
+// a number of reserved bytes. With the limit alone the runtime would collect continuously near the limit. Memory that the
+// runtime counts but that is not resident is added to the limit: without that, a small limit was reached while a quarter of
+// it was free.
 func (p Plan) Collector(sizes Sizes, reserved int64) (limit int64, percent int) {
 	limit = p.usable() - max(sizes.File, p.File) + sizes.untouched()
 	heap := max(p.Floor-p.File, 0) + reserved
 	return limit, int(min(max(100*(limit-heap)/max(heap, 1), minGCPercent), maxGCPercent))
 }
 
-// Surplus reports whether much more is resident than the program and the reserved bytes take: it was left by a burst that
-// caused no pressure, and the runtime alone returns it over minutes.
+// Surplus reports whether much more is resident than the program and the reserved bytes take: such
+// memory is left by a burst that caused no pressure, and the runtime alone returns it over minutes.
 func (p Plan) Surplus(sizes Sizes, reserved int64) bool {
 	return sizes.Resident > p.Floor+2*reserved+p.Limit/8
 }
 
-// Resize returns the size that a budget should have after a check, and by how much it shrinks. total is its present size and
-// full the one that it was made with.
+// Resize returns the size that the budget should have after a check, and the number of bytes by which it shrinks. total is
+// the present size of the budget, full its initial size.
 func (p Plan) Resize(total, full, resident int64) (size, by int64) {
 	if excess := resident - int64(shrinkAbove*float64(p.Limit)); excess > 0 {
 		by = int64(shrinkFraction * float64(excess))
--- a/internal/sidecar/memorytuner/resident.go
+++ b/internal/sidecar/memorytuner/resident.go
@@ -1,5 +1,5 @@
 // Package memorytuner compares the resident memory of the process with what its byte budget counts, and sets the garbage
-// collector and the size of the budget accordingly. Plan is the decision alone; Watch reads the system and acts. How
+// collector and the size of the budget accordingly. Plan makes the decisions; Watch reads the sizes and applies them. How
 // operators see it is described in docs/sidecar/limits.md.
 package memorytuner
 
@@ -13,14 +13,14 @@
 )
 
 const (
-	checkInterval         = time.Second
-	pressureCheckInterval = 200 * time.Millisecond // while there is pressure
-	minFreeInterval       = 10 * time.Second       // between two returns of a surplus to the system
-	calmBeforeFree        = time.Second            // without pressure, before memory is returned to the system
+	checkInterval         = time.Second            // between two checks
+	pressureCheckInterval = 200 * time.Millisecond // between two checks under pressure or before memory is returned
+	minFreeInterval       = 10 * time.Second       // between two returns of surplus memory to the system
+	calmBeforeFree        = time.Second            // time without pressure before memory is returned to the system
 )
 
-// Watch keeps a gate and the garbage collector in step with the system until stop is closed. relieve is called on its
-// goroutine at every check under pressure, with the present level.
+// Watch adjusts a gate and the garbage collector to the resident memory until stop is closed. It calls relieve on its own
+// goroutine at every check under pressure, with the current level.
 func Watch(p Plan, gate *budget.Gate, relieve func(budget.Pressure), log zerolog.Logger, stop <-chan struct{}) {
 	w := &watcher{plan: p, gate: gate, relieve: relieve, log: log, fullSize: gate.State().Total}
 	w.check()
@@ -43,24 +43,24 @@
 	}
 }
 
-// watcher is the state of Watch. It belongs to one goroutine.
+// watcher is the state of Watch. It is owned by one goroutine.
 type watcher struct {
 	plan        Plan
 	gate        *budget.Gate
 	relieve     func(budget.Pressure)
 	log         zerolog.Logger
-	fullSize    int64 // of the budget
-	sizes       Sizes // at the last check
+	fullSize    int64 // initial size of the budget
+	sizes       Sizes // sizes at the last check
 	pressure    budget.Pressure
-	gcPercent   int   // as set
-	limit       int64 // likewise, the soft limit of the Go runtime
+	gcPercent   int   // GC percentage last set
+	limit       int64 // soft limit of the Go runtime last set
 	freePending bool  // memory is to be returned to the system
 	calmSince   time.Time
 	lastFree    time.Time
-	shrunkBy    int64 // since the budget had its full size
+	shrunkBy    int64 // bytes by which the budget has shrunk since it had its full size
 }
 
-// applyPressure logs each level that begins or ends, relieves pressure and sets the collector.
+// applyPressure logs each pressure level that begins or ends, calls relieve under pressure, and sets the collector.
 func (w *watcher) applyPressure() {
 	s := w.gate.State()
 	for w.pressure < s.Pressure {
@@ -92,7 +92,7 @@
 	}
 }
 
-// check compares the budget with the system. If the system does not report sizes, the plan stays as it was made.
+// check compares the budget with the resident memory. If the system does not report sizes, the budget keeps its size.
 func (w *watcher) check() {
 	sizes, err := Read()
 	if err == nil {
@@ -107,7 +107,7 @@
 	w.freeSurplus(s)
 }
 
-// resize sets the size of the budget by the resident memory.
+// resize sets the size of the budget according to the resident memory.
 func (w *watcher) resize(s budget.State) {
 	size, by := w.plan.Resize(s.Total, w.fullSize, w.sizes.Resident)
 	if size != s.Total {
@@ -116,17 +116,17 @@
 	switch {
 	case by > 0 && w.shrunkBy == 0:
 		w.log.Warn().Int64("resident", w.sizes.Resident).Int64("limit", w.plan.Limit).Int64("held", s.Sum()).
-			Int64("by", by).Msg("more memory is resident than the budget tells: it shrinks")
+			Int64("by", by).Msg("resident memory exceeds what the byte budget accounts for: budget shrinks")
 		w.shrunkBy = by
 	case by > 0:
 		w.shrunkBy += by
 	case w.shrunkBy > 0 && size == w.fullSize:
-		w.log.Info().Int64("in all", w.shrunkBy).Msg("the budget has its full size again")
+		w.log.Info().Int64("in all", w.shrunkBy).Msg("byte budget is back at its full size")
 		w.shrunkBy = 0
 	}
 }
 
-// freeSurplus returns memory to the system that pressure or a burst has left, once there was no pressure for a while.
+// freeSurplus returns unused memory to the system after pressure or a burst, once there was no pressure for calmBeforeFree.
 func (w *watcher) freeSurplus(s budget.State) {
 	if w.pressure > budget.NoPressure {
 		return
--- a/internal/sidecar/memorytuner/sizes.go
+++ b/internal/sidecar/memorytuner/sizes.go
@@ -13,15 +13,15 @@
 // Sizes is the memory of a process in bytes.
 type Sizes struct {
 	Resident       int64 // all resident memory, as the operating system counts it
-	File           int64 // of that, pages of files: the program itself
+	File           int64 // resident pages of files: the program itself
 	RuntimeCounted int64 // what the Go runtime counts against its soft limit
 }
 
-// Unknown stands for the sizes of a process whose system does not report them: more than was ever seen at a start.
+// Unknown is used where the system does not report the sizes: it is larger than any size seen at a start.
 var Unknown = Sizes{Resident: 12 << 20, File: 8 << 20}
 
 // errNoSizes is the error of a system that does not report the resident memory.
-var errNoSizes = errors.New("resident: the system tells no VmRSS")
+var errNoSizes = errors.New("resident memory: /proc/self/status has no VmRSS")
 
 // Read returns the sizes of this process, from /proc (proc_pid_status(5)) and the Go runtime.
 func Read() (Sizes, error) {
@@ -29,7 +29,7 @@
 	if err != nil {
 		return Sizes{}, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was only read
 	s, err := parseStatus(f)
 	if err != nil {
 		return Sizes{}, err
@@ -65,5 +65,5 @@
 	return s, nil
 }
 
-// untouched is what the Go runtime counts and is not resident: it was requested and never written to.
+// untouched returns the bytes that the Go runtime counts but that are not resident: they were requested and never written.
 func (s Sizes) untouched() int64 { return max(s.RuntimeCounted-(s.Resident-s.File), 0) }
