--- a/internal/sidecar/frontend/http/handle.go
+++ b/internal/sidecar/frontend/http/handle.go
@@ -63,7 +63,7 @@
 	conn.expires = req.Expires
 	pending := &reply{answers: make(chan relay.Answer, 1)}
 	req.Answer = pending.answer
-	req.Payload.ClientGone = func() bool { return socket.Departed(conn.Conn) }
+	req.Payload.ClientGone = func() bool { return socket.PeerClosed(conn.Conn) }
 	watch := conn.watch()
 	id := s.relay.Submit(req)
 	select {
--- a/internal/sidecar/frontend/http/head.go
+++ b/internal/sidecar/frontend/http/head.go
@@ -127,7 +127,7 @@
 // queueDelay is how long the last byte of a request has waited in the operating system to be read. A sidecar that
 // had no core for a while would otherwise give a client more time than it has, and answer after it has gone.
 func queueDelay(nc net.Conn) time.Duration {
-	unread := socket.Quiet(nc)
+	unread := socket.SinceLastReceive(nc)
 	if unread > readTimeout { // no request waits for so long: the system does not know
 		return 0
 	}
--- a/internal/sidecar/frontend/http/linger.go
+++ b/internal/sidecar/frontend/http/linger.go
@@ -39,7 +39,7 @@
 		setReadDeadline(c.Conn, check)
 		_, err := io.Copy(io.Discard, rest)
 		closed := !errors.Is(err, os.ErrDeadlineExceeded) // or lingerBytes have been discarded
-		if closed || check.After(end) || socket.Unsent(c.Conn) == 0 && !socket.Unread(c.Conn) {
+		if closed || check.After(end) || socket.Unacknowledged(c.Conn) == 0 && !socket.Unread(c.Conn) {
 			return
 		}
 	}
--- a/internal/sidecar/frontend/http/listener.go
+++ b/internal/sidecar/frontend/http/listener.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	quiet := socket.Quiet(nc) // it may have stood in the backlog for a while
+	quiet := socket.SinceLastReceive(nc) // it may have stood in the backlog for a while
 	c := &watchedConn{Conn: nc, listener: l, connCharge: l.gate.ForceReserve(budget.Conns, connBytes),
 		idleSince: time.Now().Add(-quiet), firstDeadline: time.Now().Add(max(readTimeout-quiet, minReadTimeout))}
 	l.mu.Lock()
--- a/internal/sidecar/frontend/http/watch.go
+++ b/internal/sidecar/frontend/http/watch.go
@@ -46,7 +46,7 @@
 	}
 	tick := time.NewTicker(departedPollInterval)
 	defer tick.Stop()
-	for !socket.Departed(w.conn.Conn) {
+	for !socket.PeerClosed(w.conn.Conn) {
 		select {
 		case <-tick.C:
 		case <-w.stopped:
--- a/internal/sidecar/peer/channel.go
+++ b/internal/sidecar/peer/channel.go
@@ -235,7 +235,7 @@
 // because a read needs a deadline: if the deadline passes before the read begins (the process did not run for a millisecond), the
 // result of the read says nothing. The read covers cases in which the operating system does not report the close.
 func closedByPeer(nc net.Conn) bool {
-	if socket.Departed(nc) {
+	if socket.PeerClosed(nc) {
 		return true
 	}
 	if nc.SetReadDeadline(time.Now().Add(time.Millisecond)) != nil {
--- a/internal/sidecar/socket/socket_linux.go
+++ b/internal/sidecar/socket/socket_linux.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Quiet tells for how long nothing has come on a connection: since its last byte reached this machine, read or
+// SinceLastReceive tells for how long nothing has come on a connection: since its last byte reached this machine, read or
 // not, or since it was made. 0 if the system does not know.
-func Quiet(nc net.Conn) time.Duration {
+func SinceLastReceive(nc net.Conn) time.Duration {
 	var quiet time.Duration
 	control(nc, func(fd int) {
 		if info, err := unix.GetsockoptTCPInfo(fd, unix.SOL_TCP, unix.TCP_INFO); err == nil {
@@ -50,9 +50,9 @@
 	return unread
 }
 
-// Departed tells whether the other side has ended a connection, also where bytes that are not read stand before its end: it
+// PeerClosed tells whether the other side has ended a connection, also where bytes that are not read stand before its end: it
 // has ended its sending, reset the connection, or this side has closed it. Nothing is read.
-func Departed(nc net.Conn) bool {
+func PeerClosed(nc net.Conn) bool {
 	departed := true // of a closed connection no descriptor is asked
 	known := control(nc, func(fd int) {
 		polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
@@ -66,8 +66,8 @@
 	return known && departed
 }
 
-// Unsent is how many bytes written to a connection the other machine has not acknowledged; 0 where the system does not know.
-func Unsent(nc net.Conn) int {
+// Unacknowledged is how many bytes written to a connection the other machine has not acknowledged; 0 where the system does not know.
+func Unacknowledged(nc net.Conn) int {
 	unsent := 0
 	control(nc, func(fd int) {
 		if n, err := unix.IoctlGetInt(fd, unix.SIOCOUTQ); err == nil {
--- a/internal/sidecar/socket/socket_other.go
+++ b/internal/sidecar/socket/socket_other.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Quiet is known on Linux only.
-func Quiet(net.Conn) time.Duration { return 0 }
+// SinceLastReceive is known on Linux only.
+func SinceLastReceive(net.Conn) time.Duration { return 0 }
 
 // Readable waits on Linux only. Where it does not, the read that follows waits.
 func Readable(net.Conn) error { return nil }
@@ -18,11 +18,11 @@
 // Unread is known on Linux only.
 func Unread(net.Conn) bool { return false }
 
-// Departed is known on Linux only. Where it is not, a read tells of the end.
-func Departed(net.Conn) bool { return false }
+// PeerClosed is known on Linux only. Where it is not, a read tells of the end.
+func PeerClosed(net.Conn) bool { return false }
 
-// Unsent is known on Linux only.
-func Unsent(net.Conn) int { return 0 }
+// Unacknowledged is known on Linux only.
+func Unacknowledged(net.Conn) int { return 0 }
 
 // Pending is known on Linux only. Where it is not, one may always wait.
 func Pending(net.Listener) bool { return true }
--- a/internal/sidecar/socket/socket_test.go
+++ b/internal/sidecar/socket/socket_test.go
@@ -81,14 +81,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			near, far := pair(t)
-			before := Departed(near)
+			before := PeerClosed(near)
 			write(t, far, "xy")
 			scenario.Await(t, "the bytes have come", func() bool { return Unread(near) })
-			unread := Departed(near)
+			unread := PeerClosed(near)
 			if err := end(far.(*net.TCPConn)); err != nil {
 				t.Fatal(err)
 			}
-			scenario.Await(t, "the end is seen", func() bool { return Departed(near) })
+			scenario.Await(t, "the end is seen", func() bool { return PeerClosed(near) })
 			if diff := cmp.Diff([]bool{false, false}, []bool{before, unread}); diff != "" {
 				t.Errorf("departed while it was there (-want +got):\n%s", diff)
 			}
@@ -98,7 +98,7 @@
 	if err := near.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if !Departed(near) {
+	if !PeerClosed(near) {
 		t.Error("a connection closed on this side passes for one whose other side is there")
 	}
 }
@@ -134,12 +134,12 @@
 	near, far := pair(t)
 	const quiet = 100 * time.Millisecond
 	time.Sleep(quiet) // the time itself is what is measured
-	if got := Quiet(near); got < quiet/2 {
+	if got := SinceLastReceive(near); got < quiet/2 {
 		t.Errorf("%v after %v without a byte", got, quiet)
 	}
 	write(t, far, "x")
 	readByte(t, near)
-	if got := Quiet(near); got > quiet/2 {
+	if got := SinceLastReceive(near); got > quiet/2 {
 		t.Errorf("%v after a byte", got)
 	}
 }
