--- a/internal/sidecar/logging/logging.go
+++ b/internal/sidecar/logging/logging.go
@@ -35,7 +35,7 @@
 // Defaults are the settings where the operator says nothing.
 func Defaults() Settings { return Settings{Level: "info", Form: JSON, Repeats: 20} }
 
-const mostRepeats = 100_000
+const maxRepeats = 100_000
 
 var levels = map[string]zerolog.Level{"debug": zerolog.DebugLevel, "info": zerolog.InfoLevel, "warn": zerolog.WarnLevel,
 	"error": zerolog.ErrorLevel}
@@ -49,8 +49,8 @@
 	if s.Form != JSON && s.Form != Console {
 		fault("form", s.Form, "json or console")
 	}
-	if s.Repeats < 0 || s.Repeats > mostRepeats {
-		fault("repeats", s.Repeats, fmt.Sprintf("0 to %d", mostRepeats))
+	if s.Repeats < 0 || s.Repeats > maxRepeats {
+		fault("repeats", s.Repeats, fmt.Sprintf("0 to %d", maxRepeats))
 	}
 	for part, level := range s.ComponentLevels {
 		if _, ok := levels[level]; !ok {
@@ -130,7 +130,7 @@
 		return false
 	}
 	repeats := p.hub.repeats.Load()
-	return repeats == 0 || p.hub.site().take(p.hub, repeats)
+	return repeats == 0 || p.hub.site().allow(p.hub, repeats)
 }
 
 // site finds the line of the program that logs.
@@ -157,25 +157,25 @@
 
 // site counts the lines of a place in the program.
 type site struct {
-	at      string
-	mu      sync.Mutex
-	since   time.Time // the second that is counted
-	written int64
-	leftOut int64
+	at         string
+	mu         sync.Mutex
+	since      time.Time // the second that is counted
+	written    int64
+	suppressed int64
 }
 
-func (s *site) take(h *Hub, most int64) bool {
+func (s *site) allow(h *Hub, maxLines int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	if now.Sub(s.since) >= time.Second {
 		s.since, s.written = now, 0
 	}
-	if s.written < most {
+	if s.written < maxLines {
 		s.written++
 		return true
 	}
-	if s.leftOut++; s.leftOut == 1 {
+	if s.suppressed++; s.suppressed == 1 {
 		time.AfterFunc(time.Until(s.since.Add(time.Second)), func() { s.report(h) })
 	}
 	return false
@@ -184,16 +184,16 @@
 // report says how many lines were left out, once the second is over.
 func (s *site) report(h *Hub) {
 	s.mu.Lock()
-	n := s.leftOut
-	s.leftOut = 0
+	n := s.suppressed
+	s.suppressed = 0
 	s.mu.Unlock()
 	h.base.Warn().Int64("lines", n).Str("at", s.at).Msg("lines left out")
 }
 
 // output writes lines in one form or the other.
 type output struct {
-	raw io.Writer
-	to  atomic.Pointer[io.Writer]
+	raw    io.Writer
+	writer atomic.Pointer[io.Writer]
 }
 
 func (o *output) form(form string) {
@@ -201,7 +201,7 @@
 	if form == Console {
 		w = zerolog.ConsoleWriter{Out: o.raw, NoColor: true, TimeFormat: time.RFC3339}
 	}
-	o.to.Store(&w)
+	o.writer.Store(&w)
 }
 
-func (o *output) Write(line []byte) (int, error) { return (*o.to.Load()).Write(line) }
+func (o *output) Write(line []byte) (int, error) { return (*o.writer.Load()).Write(line) }
--- a/internal/sidecar/metrics/metrics.go
+++ b/internal/sidecar/metrics/metrics.go
@@ -13,9 +13,9 @@
 	"sync/atomic"
 )
 
-// MostClasses bounds the classes that are counted one by one. Those over it are counted under Other: a file that
+// MaxClasses bounds the classes that are counted one by one. Those over it are counted under Other: a file that
 // names more cannot make the table grow without end.
-const MostClasses = 256
+const MaxClasses = 256
 
 // Other is the name under which classes over MostClasses are counted.
 const Other = "other"
@@ -23,22 +23,22 @@
 // Outcome is how a request of a class ended, as the submitter saw it.
 type Outcome uint8
 
-// The outcomes that are counted.
+// The outcomeCount that are counted.
 const (
 	Success Outcome = iota // served: 200
 	Busy                   // refused, to be sent again: 503
 	Failure                // failed: 502 or the like
-	outcomes
+	outcomeCount
 )
 
-var outcomeNames = [outcomes]string{"success", "busy", "failure"}
+var outcomeNames = [outcomeCount]string{"success", "busy", "failure"}
 
 // Registry is the figures of one process.
 type Registry struct {
 	prefix string
 
 	mu      sync.Mutex
-	classes map[string]*[outcomes]atomic.Int64
+	classes map[string]*[outcomeCount]atomic.Int64
 
 	BackendCalls   atomic.Int64 // attempts whose last byte was written to an execute node
 	Inflight       atomic.Int64 // requests taken and not yet answered
@@ -50,27 +50,27 @@
 
 // New makes a registry whose lines begin with prefix and a dot ("lb" gives lb.inflight).
 func New(prefix string) *Registry {
-	return &Registry{prefix: prefix, classes: map[string]*[outcomes]atomic.Int64{}}
+	return &Registry{prefix: prefix, classes: map[string]*[outcomeCount]atomic.Int64{}}
 }
 
 // Count counts one request of class that ended so. A nil registry counts nothing.
 func (r *Registry) Count(class string, o Outcome) {
-	if r == nil || o >= outcomes {
+	if r == nil || o >= outcomeCount {
 		return
 	}
 	r.class(class)[o].Add(1)
 }
 
-func (r *Registry) class(name string) *[outcomes]atomic.Int64 {
+func (r *Registry) class(name string) *[outcomeCount]atomic.Int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.classes[name]
 	if c == nil {
-		if len(r.classes) >= MostClasses {
+		if len(r.classes) >= MaxClasses {
 			name = Other
 		}
 		if c = r.classes[name]; c == nil {
-			c = new([outcomes]atomic.Int64)
+			c = new([outcomeCount]atomic.Int64)
 			r.classes[name] = c
 		}
 	}
@@ -101,7 +101,7 @@
 	var lines []string
 	for _, name := range names {
 		c := r.class(name)
-		for o := range outcomes {
+		for o := range outcomeCount {
 			lines = append(lines, fmt.Sprintf("%s.calls.%s.%s:%d|c", r.prefix, name, outcomeNames[o], c[o].Load()))
 		}
 	}
--- a/internal/sidecar/metrics/metrics_test.go
+++ b/internal/sidecar/metrics/metrics_test.go
@@ -32,10 +32,10 @@
 
 func TestClassesBounded(t *testing.T) {
 	r := New("lb")
-	for i := range MostClasses + 10 {
+	for i := range MaxClasses + 10 {
 		r.Count(string(rune('a'+i%26))+string(rune('a'+i/26)), Failure)
 	}
-	if len(r.classes) != MostClasses+1 || r.classes[Other][Failure].Load() != 10 {
+	if len(r.classes) != MaxClasses+1 || r.classes[Other][Failure].Load() != 10 {
 		t.Errorf("%d classes, %d other", len(r.classes), r.classes[Other][Failure].Load())
 	}
 }
