--- a/internal/sidecar/logging/logging.go
+++ b/internal/sidecar/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging makes the loggers of a daemon's parts: structured lines of
-// zerolog, whose levels and form can be changed while they are used, and of
-// which no call site writes more than so many a second.
+// Package logging creates the loggers of a daemon's components. They write
+// structured lines by zerolog; levels and format can be changed at run time, and
+// the number of lines per second is limited for each call site.
 package logging
 
 import (
@@ -15,24 +15,24 @@
 	"github.com/rs/zerolog"
 )
 
-// The forms of a line.
+// The formats of a line.
 const (
 	JSON    = "json"
 	Console = "console" // for a person at a terminal
 )
 
-// Components are the names by which a level can be set for a part alone.
+// Components are the names of the components whose level can be set separately.
 var Components = []string{"daemon", "front", "relay", "node", "list", "memory", "fleet"}
 
-// Settings are the section log of the operator's file.
+// Settings is the section log of the operator's file.
 type Settings struct {
 	Level           string            `toml:"level"`   // debug, info, warn or error
 	Form            string            `toml:"form"`    // json or console
-	Repeats         int               `toml:"repeats"` // lines a second that a call site may write; 0: any number
-	ComponentLevels map[string]string `toml:"parts"`   // the level of a part, where it is another
+	Repeats         int               `toml:"repeats"` // maximum number of lines per second and call site; 0: unlimited
+	ComponentLevels map[string]string `toml:"parts"`   // levels of components that differ from Level, by component
 }
 
-// Defaults are the settings where the operator says nothing.
+// Defaults returns the settings that apply where the operator's file sets none.
 func Defaults() Settings { return Settings{Level: "info", Form: JSON, Repeats: 20} }
 
 const maxRepeats = 100_000
@@ -40,7 +40,7 @@
 var levels = map[string]zerolog.Level{"debug": zerolog.DebugLevel, "info": zerolog.InfoLevel, "warn": zerolog.WarnLevel,
 	"error": zerolog.ErrorLevel}
 
-// Check calls fault for each key whose value cannot be used, with what is allowed.
+// Check calls fault for each key whose value cannot be used, with the allowed values.
 func (s *Settings) Check(fault func(key string, read any, allowed string)) {
 	const names = "debug, info, warn or error"
 	if _, ok := levels[s.Level]; !ok {
@@ -66,19 +66,19 @@
 	}
 }
 
-// Hub makes loggers and holds what they share. It may be used from any goroutine.
+// Hub creates loggers and holds their shared state. It may be used from any goroutine.
 type Hub struct {
 	out     *output
-	base    zerolog.Logger // writes without a bound
+	base    zerolog.Logger // logger without a limit of lines
 	repeats atomic.Int64
 
 	mu         sync.Mutex
 	components map[string]*component
 	set        Settings
-	sites      map[uintptr]*site // by call site: as many as the program has
+	sites      map[uintptr]*site // by program counter of the call site; bounded by the call sites of the program
 }
 
-// New makes a hub that writes to w. The settings must have passed Check.
+// New returns a hub that writes to w. The settings must have passed Check.
 func New(w io.Writer, name string, s Settings) *Hub {
 	h := &Hub{out: &output{raw: w}, components: map[string]*component{}, sites: map[uintptr]*site{}}
 	h.base = zerolog.New(h.out).Level(zerolog.DebugLevel).With().Timestamp().Str("sidecar", name).Logger()
@@ -86,7 +86,7 @@
 	return h
 }
 
-// Set changes levels, form and bound for all loggers that the hub has made, from the next line on.
+// Set changes the levels, the format and the limit of lines for all loggers of the hub, from the next line on.
 func (h *Hub) Set(s Settings) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -105,7 +105,7 @@
 	return levels[s.Level]
 }
 
-// Component makes the logger of a part.
+// Component returns a logger for a component.
 func (h *Hub) Component(name string) zerolog.Logger {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -118,7 +118,7 @@
 	return h.base.With().Str("part", name).Logger().Sample(p)
 }
 
-// component decides before a line is made whether it is wanted.
+// component decides, before a line is formatted, whether it is logged. It is a zerolog.Sampler.
 type component struct {
 	hub   *Hub
 	level atomic.Int32
@@ -133,9 +133,9 @@
 	return repeats == 0 || p.hub.site().allow(p.hub, repeats)
 }
 
-// site finds the line of the program that logs.
+// site returns the call site of the log line that is being written.
 func (h *Hub) site() *site {
-	// Over the frames of this package and of zerolog lies the call. Few levels are inlined there.
+	// The call site is the first frame outside this package and zerolog. Few frames there are inlined, so 8 are enough.
 	var pcs [8]uintptr
 	n := runtime.Callers(3, pcs[:])
 	frames := runtime.CallersFrames(pcs[:n])
@@ -155,11 +155,11 @@
 	}
 }
 
-// site counts the lines of a place in the program.
+// site limits the lines of one call site.
 type site struct {
 	at         string
 	mu         sync.Mutex
-	since      time.Time // the second that is counted
+	since      time.Time // start of the second whose lines are counted
 	written    int64
 	suppressed int64
 }
@@ -181,7 +181,7 @@
 	return false
 }
 
-// report says how many lines were left out, once the second is over.
+// report logs the number of suppressed lines at the end of the second.
 func (s *site) report(h *Hub) {
 	s.mu.Lock()
 	n := s.suppressed
@@ -190,7 +190,7 @@
 	h.base.Warn().Int64("lines", n).Str("at", s.at).Msg("lines left out")
 }
 
-// output writes lines in one form or the other.
+// output writes lines in the format that is set.
 type output struct {
 	raw    io.Writer
 	writer atomic.Pointer[io.Writer]
--- a/internal/sidecar/metrics/metrics.go
+++ b/internal/sidecar/metrics/metrics.go
@@ -1,9 +1,9 @@
 // Package metrics holds the sidecar's StatsD counters and gauges and writes
 // them as StatsD lines for the management address.
 //
-// Counters run from the start of the process and only grow; gauges are read
-// when the figures are asked for. Every figure is safe to change from any
-// goroutine: each is one atomic word, and the table of classes is bounded.
+// Counters start at 0 with the process and only grow; gauges are read when the
+// lines are written. Every metric may be changed from any goroutine, since each
+// is one atomic word. The table of classes is bounded.
 package metrics
 
 import (
@@ -13,27 +13,27 @@
 	"sync/atomic"
 )
 
-// MaxClasses bounds the classes that are counted one by one. Those over it are counted under Other: a file that
-// names more cannot make the table grow without end.
+// MaxClasses bounds the number of classes that are counted separately. Further classes are counted under Other, so that a
+// configuration file with many classes cannot make the table grow without bound.
 const MaxClasses = 256
 
 // Other is the name under which classes over MostClasses are counted.
 const Other = "other"
 
-// Outcome is how a request of a class ended, as the submitter saw it.
+// Outcome is the result of a request as its client saw it.
 type Outcome uint8
 
 // The outcomeCount that are counted.
 const (
-	Success Outcome = iota // served: 200
-	Busy                   // refused, to be sent again: 503
-	Failure                // failed: 502 or the like
+	Success Outcome = iota // answered with 200
+	Busy                   // rejected with 503, to be retried by the client
+	Failure                // failed, as with 502
 	outcomeCount
 )
 
 var outcomeNames = [outcomeCount]string{"success", "busy", "failure"}
 
-// Registry is the figures of one process.
+// Registry holds the metrics of one process.
 type Registry struct {
 	prefix string
 
@@ -41,19 +41,19 @@
 	classes map[string]*[outcomeCount]atomic.Int64
 
 	BackendCalls   atomic.Int64 // attempts whose last byte was written to an execute node
-	Inflight       atomic.Int64 // requests taken and not yet answered
-	ReconfigOK     atomic.Int64 // files taken at SIGHUP
-	ReconfigFailed atomic.Int64 // files turned down at SIGHUP
+	Inflight       atomic.Int64 // requests accepted and not yet answered
+	ReconfigOK     atomic.Int64 // successful reloads at SIGHUP
+	ReconfigFailed atomic.Int64 // rejected reloads at SIGHUP
 
 	hosts atomic.Pointer[func() (listed, down int)]
 }
 
-// New makes a registry whose lines begin with prefix and a dot ("lb" gives lb.inflight).
+// New returns a registry whose lines begin with prefix and a dot ("lb" gives lb.inflight).
 func New(prefix string) *Registry {
 	return &Registry{prefix: prefix, classes: map[string]*[outcomeCount]atomic.Int64{}}
 }
 
-// Count counts one request of class that ended so. A nil registry counts nothing.
+// Count counts one request of a class by its outcome. A nil registry counts nothing.
 func (r *Registry) Count(class string, o Outcome) {
 	if r == nil || o >= outcomeCount {
 		return
@@ -77,19 +77,19 @@
 	return c
 }
 
-// List makes classes show in the figures with nothing counted yet.
+// List adds classes to the metrics before any request of theirs is counted.
 func (r *Registry) List(classes ...string) {
 	for _, name := range classes {
 		r.class(name)
 	}
 }
 
-// Hosts tells the registry how to learn, when the figures are asked for, how many execute nodes are listed and how
-// many of those are avoided now. It must not block.
+// Hosts sets the function that returns, whenever the lines are written, the number of listed execute nodes and how many of
+// these are currently avoided. The function must not block.
 func (r *Registry) Hosts(ask func() (listed, down int)) { r.hosts.Store(&ask) }
 
-// Lines are the figures as StatsD lines, without line ends: counters with |c, gauges with |g. Classes come in the
-// order of their names, so that two readings compare line by line.
+// Lines returns the metrics as StatsD lines, without line ends: counters with |c, gauges with |g. Classes are sorted by name,
+// so that two outputs can be compared line by line.
 func (r *Registry) Lines() []string {
 	r.mu.Lock()
 	names := make([]string, 0, len(r.classes))
@@ -119,7 +119,7 @@
 	)
 }
 
-// Reconfigured counts a file taken (ok) or turned down at SIGHUP. A nil registry counts nothing.
+// Reconfigured counts a reload at SIGHUP as successful (ok) or rejected. A nil registry counts nothing.
 func (r *Registry) Reconfigured(ok bool) {
 	switch {
 	case r == nil:
--- a/internal/sidecar/reconfig/reconfig.go
+++ b/internal/sidecar/reconfig/reconfig.go
@@ -1,26 +1,27 @@
 // Package reconfig changes the settings of several parts of a running program
-// as one: all prepare, and only if each of them could does any take effect.
+// atomically, by a two-phase commit: all parts prepare, and the changes take
+// effect only if every part could prepare.
 package reconfig
 
 import "fmt"
 
-// Change is what a part has prepared. Exactly one of its calls follows.
+// Change is a prepared change of one part. Exactly one of its methods is called.
 type Change interface {
-	// Commit lets the change take effect. It cannot fail.
+	// Commit makes the change take effect. It cannot fail.
 	Commit()
-	// Abort gives back what was prepared.
+	// Abort releases what was prepared.
 	Abort()
 }
 
 // Participant is a part of the program that has settings of type S.
 type Participant[S any] struct {
 	Name string
-	// Prepare does all that can fail and changes nothing that is in use. No change is a nil Change.
+	// Prepare does everything that can fail, and changes nothing that is in use. A nil Change means that nothing changes.
 	Prepare func(next S) (Change, error)
 }
 
-// Apply lets all parts prepare, in order, and then commit. If one cannot, those before it abort, the last first, and
-// the error names the part.
+// Apply makes all parts prepare, in order, and then commits their changes. If a part fails to prepare, the changes prepared
+// before it are aborted in reverse order, and the error names the part.
 func Apply[S any](parts []Participant[S], next S) error {
 	var prepared []Change
 	for _, p := range parts {
@@ -44,8 +45,8 @@
 // Do is a change that needs no preparation.
 type Do func()
 
-// Commit does it.
+// Commit calls the function.
 func (d Do) Commit() { d() }
 
-// Abort has nothing to give back.
+// Abort does nothing: nothing was prepared.
 func (Do) Abort() {}
--- a/internal/sidecar/socket/pair.go
+++ b/internal/sidecar/socket/pair.go
@@ -4,10 +4,10 @@
 	"net"
 )
 
-// pairAttempts is how many ports are tried until one is free for both.
+// pairAttempts is the maximum number of ports tried until one is free for both TCP and UDP.
 const pairAttempts = 20
 
-// Pair listens for streams and for datagrams at one address (host:port; port 0: one that is free for both).
+// Pair listens for TCP and UDP at one address, host:port. Port 0 selects a port that is free for both.
 func Pair(address string) (*net.TCPListener, *net.UDPConn, error) {
 	for tries := pairAttempts; ; tries-- {
 		tcp, err := net.Listen("tcp", address)
--- a/internal/sidecar/socket/socket_linux.go
+++ b/internal/sidecar/socket/socket_linux.go
@@ -1,5 +1,5 @@
-// Package socket asks the system what the standard library does not tell of a
-// TCP connection.
+// Package socket queries the operating system for the state of TCP connections
+// that the standard library does not expose.
 package socket
 
 import (
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// SinceLastReceive tells for how long nothing has come on a connection: since its last byte reached this machine, read or
-// not, or since it was made. 0 if the system does not know.
+// SinceLastReceive returns the time since the last byte of a connection reached this machine, read or not, or since the
+// connection was established. It returns 0 if the system does not report it.
 func SinceLastReceive(nc net.Conn) time.Duration {
 	var quiet time.Duration
 	control(nc, func(fd int) {
@@ -23,8 +23,8 @@
 	return quiet
 }
 
-// Readable waits until something can be read on a connection (a byte, its end or an error), and reads nothing. It fails at
-// the connection's read deadline and when it is closed on this side.
+// Readable waits until a read on a connection would not block (a byte, end of file or an error), without reading. It fails
+// at the connection's read deadline and when the connection is closed on this side.
 func Readable(nc net.Conn) error {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -40,7 +40,7 @@
 	})
 }
 
-// Unread tells whether something has come on a connection that is not read: a byte, its end or an error.
+// Unread reports whether a connection has something to read: a byte, end of file or an error.
 func Unread(nc net.Conn) bool {
 	unread := false
 	control(nc, func(fd int) {
@@ -50,15 +50,15 @@
 	return unread
 }
 
-// PeerClosed tells whether the other side has ended a connection, also where bytes that are not read stand before its end: it
-// has ended its sending, reset the connection, or this side has closed it. Nothing is read.
+// PeerClosed reports whether the peer has closed its sending side or reset the connection, or this side has closed the
+// connection. It reads nothing, and sees the end also behind unread bytes.
 func PeerClosed(nc net.Conn) bool {
-	departed := true // of a closed connection no descriptor is asked
+	departed := true // the result for a connection closed on this side, for which no descriptor is queried
 	known := control(nc, func(fd int) {
 		polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		n, err := unix.Poll(polled, 0)
 		departed = err == nil && n > 0 && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
-		if !departed { // the end alone is told in this way too
+		if !departed { // an end of file or an error is visible to a read as well
 			n, _, err := unix.Recvfrom(fd, make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 			departed = err == nil && n == 0 || err != nil && !errors.Is(err, unix.EAGAIN) && !errors.Is(err, unix.EINTR)
 		}
@@ -66,7 +66,8 @@
 	return known && departed
 }
 
-// Unacknowledged is how many bytes written to a connection the other machine has not acknowledged; 0 where the system does not know.
+// Unacknowledged returns the number of bytes written to a connection that the other machine has not acknowledged, or 0 if
+// the system does not report it.
 func Unacknowledged(nc net.Conn) int {
 	unsent := 0
 	control(nc, func(fd int) {
@@ -77,7 +78,7 @@
 	return unsent
 }
 
-// Pending tells whether a connection waits to be accepted.
+// Pending reports whether a connection waits to be accepted.
 func Pending(ln net.Listener) bool {
 	pending := false
 	control(ln, func(fd int) {
@@ -88,13 +89,13 @@
 	return pending
 }
 
-// control calls ask with the descriptor of a connection or listener, unless it is closed. It tells whether it is of a kind
-// that has one.
+// control calls ask with the descriptor of a connection or listener, unless that is closed. It reports whether its type has
+// descriptors.
 func control(of any, ask func(fd int)) bool {
 	sc, ok := of.(syscall.Conn)
 	if ok {
 		if raw, err := sc.SyscallConn(); err == nil {
-			_ = raw.Control(func(fd uintptr) { ask(int(fd)) }) // it fails on a closed connection: nothing is told then
+			_ = raw.Control(func(fd uintptr) { ask(int(fd)) }) // fails on a closed connection, without calling ask
 		}
 	}
 	return ok
--- a/internal/sidecar/socket/socket_other.go
+++ b/internal/sidecar/socket/socket_other.go
@@ -1,7 +1,7 @@
 //go:build !linux
 
-// Package socket asks the system what the standard library does not tell of a
-// TCP connection. What it asks is known on Linux only.
+// Package socket queries the operating system for the state of TCP connections
+// that the standard library does not expose. The queries work on Linux only.
 package socket
 
 import (
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// SinceLastReceive is known on Linux only.
+// SinceLastReceive works on Linux only.
 func SinceLastReceive(net.Conn) time.Duration { return 0 }
 
-// Readable waits on Linux only. Where it does not, the read that follows waits.
+// Readable waits on Linux only. On other systems the read that follows waits.
 func Readable(net.Conn) error { return nil }
 
-// Unread is known on Linux only.
+// Unread works on Linux only.
 func Unread(net.Conn) bool { return false }
 
-// PeerClosed is known on Linux only. Where it is not, a read tells of the end.
+// PeerClosed works on Linux only. On other systems a read reports the end.
 func PeerClosed(net.Conn) bool { return false }
 
-// Unacknowledged is known on Linux only.
+// Unacknowledged works on Linux only.
 func Unacknowledged(net.Conn) int { return 0 }
 
-// Pending is known on Linux only. Where it is not, one may always wait.
+// Pending works on Linux only. On other systems it reports that a connection may always be waiting.
 func Pending(net.Listener) bool { return true }
