--- a/internal/sidecar/metrics/metrics.go
+++ b/internal/sidecar/metrics/metrics.go
@@ -17,7 +17,7 @@
 // configuration file with many classes cannot make the table grow without bound.
 const MaxClasses = 256
 
-// Other is the name under which classes over MostClasses are counted.
+// Other is the name under which classes beyond MaxClasses are counted.
 const Other = "other"
 
 // Outcome is the result of a request as its client saw it.
