--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -34,11 +34,11 @@
 
 const (
 	operatorListenersFraction  = 0.5 // of submitters' connections, at the most, are for fronts of the operator's own
-	mostCores                  = 1024
-	leastMemory                = 16  // MB; the program itself takes about 10
-	leastSockets               = 64  // fewer cannot hold the spare descriptors and a connection for each side
+	maxCores                   = 1024
+	minMemoryMB                = 16  // MB; the program itself takes about 10
+	minSockets                 = 64  // fewer cannot hold the spare descriptors and a connection for each side
 	reservedDescriptorsDivisor = 16  // one descriptor in so many is kept for the poller, the log and discovery,
-	leastSpare                 = 24  // and this many at the least
+	minReservedDescriptors     = 24  // and this many at the least
 	inboundFraction            = 0.6 // of the rest is for submitters; what stays is for execute nodes
 )
 
@@ -274,18 +274,18 @@
 	l.Cores = cmp.Or(l.Cores, defaultCores)
 	l.MemoryMB = cmp.Or(l.MemoryMB, defaultMemoryMB)
 	l.Sockets = cmp.Or(l.Sockets, defaultSockets)
-	if l.Cores < 0 || l.Cores > mostCores {
-		src.fault("limits.cores", l.Cores, fmt.Sprintf("a number of cores, up to %d", mostCores))
+	if l.Cores < 0 || l.Cores > maxCores {
+		src.fault("limits.cores", l.Cores, fmt.Sprintf("a number of cores, up to %d", maxCores))
 	}
-	if l.MemoryMB < leastMemory {
-		src.fault("limits.memory_mb", l.MemoryMB, fmt.Sprintf("%d or more", leastMemory))
+	if l.MemoryMB < minMemoryMB {
+		src.fault("limits.memory_mb", l.MemoryMB, fmt.Sprintf("%d or more", minMemoryMB))
 	}
-	if l.Sockets < leastSockets {
-		src.fault("limits.sockets", l.Sockets, fmt.Sprintf("%d or more", leastSockets))
+	if l.Sockets < minSockets {
+		src.fault("limits.sockets", l.Sockets, fmt.Sprintf("%d or more", minSockets))
 	}
 	c.Procs = int(math.Ceil(l.Cores))
 	c.MemoryBytes = int64(l.MemoryMB) << 20
-	usable := l.Sockets - max(l.Sockets/reservedDescriptorsDivisor, leastSpare)
+	usable := l.Sockets - max(l.Sockets/reservedDescriptorsDivisor, minReservedDescriptors)
 	c.Inbound = int(inboundFraction * float64(usable))
 	c.Outbound = usable - c.Inbound
 }
@@ -325,7 +325,7 @@
 	}
 	for _, t := range []struct {
 		key      string
-		told     *Millis
+		value    *Millis
 		to       *time.Duration
 		standard time.Duration
 	}{
@@ -333,11 +333,11 @@
 		{"limits.conn_idle_ms", &s.Limits.ConnIdle, &c.ConnIdle, defaultConnIdle},
 		{"contract.drain_grace_ms", &s.Contract.DrainGrace, &c.DrainGrace, defaultDrainGrace},
 	} {
-		if *t.told < 0 {
-			src.fault("settings."+t.key, float64(*t.told), "0 or more")
+		if *t.value < 0 {
+			src.fault("settings."+t.key, float64(*t.value), "0 or more")
 		}
-		*t.to = cmp.Or(t.told.Duration(), t.standard)
-		*t.told = Millis(*t.to) / Millis(time.Millisecond)
+		*t.to = cmp.Or(t.value.Duration(), t.standard)
+		*t.value = Millis(*t.to) / Millis(time.Millisecond)
 	}
 	return s
 }
--- a/internal/sidecar/config/operator.go
+++ b/internal/sidecar/config/operator.go
@@ -26,8 +26,8 @@
 // endMarker ends an operator's file: one that is still being written does not pass for a whole one.
 const endMarker = "# end"
 
-// mostOperator bounds the operator's file in bytes.
-const mostOperator = 1 << 20
+// maxOperatorBytes bounds the operator's file in bytes.
+const maxOperatorBytes = 1 << 20
 
 // Operator is the operator's own file: what the platform does not tell. A section that it does not name is off or at
 // its defaults. Each section's type is that of the package that it sets.
@@ -55,8 +55,8 @@
 		return OperatorDefaults(), src
 	}
 	text, err := os.ReadFile(path)
-	if err == nil && len(text) > mostOperator {
-		err = fmt.Errorf("%d bytes, %d at most", len(text), mostOperator)
+	if err == nil && len(text) > maxOperatorBytes {
+		err = fmt.Errorf("%d bytes, %d at most", len(text), maxOperatorBytes)
 	}
 	if err != nil {
 		src.faults = append(src.faults, Fault{File: path, Read: "cannot be read", Allowed: err.Error()})
--- a/internal/sidecar/config/settings.go
+++ b/internal/sidecar/config/settings.go
@@ -12,8 +12,8 @@
 // Millis is a JSON number of milliseconds.
 type Millis float64
 
-// mostMillis bounds a time of the settings: about 30 years, far from where a duration overflows.
-const mostMillis = 1e12
+// maxMillis bounds a time of the settings: about 30 years, far from where a duration overflows.
+const maxMillis = 1e12
 
 // Duration gives m in whole microseconds, the finest unit of the simulator.
 func (m Millis) Duration() time.Duration {
@@ -161,7 +161,7 @@
 // checkDurations names the first duration that is out of range, behind a prefix that says where it stands.
 func checkDurations(prefix string, durations []namedDuration) error {
 	for _, duration := range durations {
-		if math.Abs(float64(duration.value)) > mostMillis {
+		if math.Abs(float64(duration.value)) > maxMillis {
 			return fmt.Errorf("%s%s: %v ms is out of range", prefix, duration.key, float64(duration.value))
 		}
 	}
