--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -1,5 +1,6 @@
-// Package config reads, checks and fills in all that a sidecar is told: the
-// environment, the file that LB_CONFIG names, and the settings within it.
+// Package config reads and checks the configuration of a sidecar, and fills in
+// defaults: the environment, the file that LB_CONFIG names with the platform's
+// settings in it, and the operator's file.
 package config
 
 import (
@@ -22,7 +23,7 @@
 	"fieldrelay/internal/sidecar/source/endpoints"
 )
 
-// Defaults of what the configuration leaves out.
+// Defaults of keys that the configuration does not set.
 const (
 	defaultCores       = 1.0
 	defaultMemoryMB    = 192
@@ -33,16 +34,16 @@
 )
 
 const (
-	operatorListenersFraction  = 0.5 // of submitters' connections, at the most, are for fronts of the operator's own
+	operatorListenersFraction  = 0.5 // largest fraction of client connections for the operator's own listeners
 	maxCores                   = 1024
-	minMemoryMB                = 16  // MB; the program itself takes about 10
-	minSockets                 = 64  // fewer cannot hold the spare descriptors and a connection for each side
-	reservedDescriptorsDivisor = 16  // one descriptor in so many is kept for the poller, the log and discovery,
-	minReservedDescriptors     = 24  // and this many at the least
-	inboundFraction            = 0.6 // of the rest is for submitters; what stays is for execute nodes
+	minMemoryMB                = 16  // MB; the program itself uses about 10
+	minSockets                 = 64  // fewer do not suffice for the reserved descriptors and a connection on each side
+	reservedDescriptorsDivisor = 16  // one descriptor in this many is reserved for the poller, the log and discovery
+	minReservedDescriptors     = 24  // minimum number of reserved descriptors
+	inboundFraction            = 0.6 // fraction of the remaining descriptors for client connections; the rest is for execute nodes
 )
 
-// Limits is what the sidecar's machine gives it.
+// Limits are the machine resources that the sidecar may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -55,7 +56,7 @@
 	Mgmt                    string // host:port of the management address; empty: none
 	SocketFD                int    // the platform's listening socket, inherited as this descriptor; -1: none
 	Seed                    uint64
-	Known                   endpoints.List // the stored list; it may be old
+	Known                   endpoints.List // stored server list, which may be outdated
 	Logic                   logic.Config
 	Operator                Operator
 	show                    []func() []Shown
@@ -63,12 +64,12 @@
 	DialTimeout, ConnIdle, DrainGrace time.Duration
 
 	Procs       int   // threads that run Go code
-	MemoryBytes int64 // over this the sidecar is killed
-	Inbound     int   // most connections from submitters
-	Outbound    int   // most connections to execute nodes
+	MemoryBytes int64 // memory limit beyond which the sidecar is killed
+	Inbound     int   // maximum number of connections from clients
+	Outbound    int   // maximum number of connections to execute nodes
 }
 
-// file is the form of the configuration file.
+// file is the format of the configuration file.
 type file struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -80,14 +81,14 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// Load reads the configuration that the environment names, and the operator's file if there is a path of one. Its
-// error is Faults, with a line for each.
+// Load reads the configuration that the environment names, and the operator's file unless its path is empty. The error is
+// a FaultsError, with a line for each fault.
 func Load(getenv func(string) string, operator string) (*Config, error) {
 	return read(getenv, operator, func(env, file string) string { return cmp.Or(env, file) })
 }
 
-// Reload reads it again. The file has been replaced since the environment was set, so its word on discovery is
-// the newer one.
+// Reload reads the configuration again. The file has been replaced since the environment was set, so the file's discovery
+// address takes precedence over that of the environment.
 func Reload(getenv func(string) string, operator string) (*Config, error) {
 	return read(getenv, operator, func(env, file string) string { return cmp.Or(file, env) })
 }
@@ -115,7 +116,7 @@
 	return cfg, nil
 }
 
-// Shown is every setting in force, and where it comes from.
+// Shown returns every setting in force, with its origin.
 func (c *Config) Shown() []Shown {
 	var all []Shown
 	for _, show := range c.show {
@@ -124,7 +125,7 @@
 	return all
 }
 
-// from tells where the value of a key comes from.
+// from returns the origin of the value of a key: the file, or default.
 func (s *source) from(key string) string {
 	if s.has(key) {
 		return s.file
@@ -139,8 +140,8 @@
 	}](), "json")
 })
 
-// parse reads the text of the configuration file. What is wrong with it is added to src. Where anything stands is
-// looked for only then: a sidecar's start needs no memory for it.
+// parse reads the text of the configuration file, and adds its faults to src. The positions of keys are determined only if
+// there is a fault, so that a normal start needs no memory for them.
 func parse(src *source, text []byte, getenv func(string) string, discovery func(env, file string) string) *Config {
 	cfg := build(src, text, getenv, discovery)
 	if len(src.faults) == 0 {
@@ -149,12 +150,12 @@
 	src.faults = nil
 	src.locate(text)
 	if len(src.faults) > 0 {
-		return &Config{} // with values of other kinds nothing further can be told
+		return &Config{} // after values of the wrong kind or bad syntax no further check is possible
 	}
 	return build(src, text, getenv, discovery)
 }
 
-// locate finds where each key stands, and what is of another kind than it should be.
+// locate determines the position of each key, and adds faults for values of the wrong kind.
 func (s *source) locate(text []byte) {
 	leaves, err := scanJSON(text)
 	if err != nil {
@@ -169,7 +170,7 @@
 	fileSchema().check(s, leaves, false)
 }
 
-// build makes a configuration of a text.
+// build creates a configuration from the text of the file and the environment.
 func build(src *source, text []byte, getenv func(string) string, discovery func(env, file string) string) *Config {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -203,7 +204,7 @@
 	return cfg
 }
 
-// checkAddresses reports addresses of another form than host:port.
+// checkAddresses adds a fault for each address that is not host:port.
 func (c *Config) checkAddresses(src *source) {
 	for _, required := range []struct{ key, address string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if _, _, err := net.SplitHostPort(required.address); err != nil {
@@ -215,7 +216,7 @@
 	}
 }
 
-// origin names where the value of a key comes from: an environment variable, or a place in the file.
+// origin returns the origin of the value of a key: an environment variable, the file, or default.
 func (c *Config) origin(src *source, getenv func(string) string, key string) string {
 	variable := "LB_" + strings.ToUpper(key)
 	value := getenv(variable)
@@ -225,13 +226,13 @@
 	return src.from(key)
 }
 
-// The descriptors that LB_SOCKET_FD may name: those below are standard input and output.
+// Bounds of the descriptor that LB_SOCKET_FD may name. Descriptors below 3 are standard input, output and error.
 const (
 	minSocketDescriptor = 3
 	maxSocketDescriptor = 1 << 20
 )
 
-// descriptor reads LB_SOCKET_FD; -1: it is not set, or faulty.
+// descriptor parses LB_SOCKET_FD. It returns -1 if the variable is not set or faulty.
 func (s *source) descriptor(value string) int {
 	if value == "" {
 		return -1
@@ -244,7 +245,7 @@
 	return number
 }
 
-// seed reads the seed, or draws one if there is none.
+// seed parses the seed, or returns a random one if none is set.
 func (s *source) seed(value string) uint64 {
 	if value == "" {
 		return rand.Uint64()
@@ -256,7 +257,7 @@
 	return seed
 }
 
-// knownServers reads the list of servers as last had.
+// knownServers decodes the stored server list.
 func (s *source) knownServers(text []byte) endpoints.List {
 	if len(text) == 0 || string(text) == "null" {
 		return endpoints.List{}
@@ -269,7 +270,7 @@
 	return known
 }
 
-// size shares out what the machine gives.
+// size checks the limits and divides them.
 func (c *Config) size(src *source, l *Limits) {
 	l.Cores = cmp.Or(l.Cores, defaultCores)
 	l.MemoryMB = cmp.Or(l.MemoryMB, defaultMemoryMB)
@@ -290,7 +291,7 @@
 	c.Outbound = usable - c.Inbound
 }
 
-// settings takes in the platform's settings, and gives them with their defaults filled in.
+// settings checks the platform's settings, and returns them with defaults filled in.
 func (c *Config) settings(src *source, text json.RawMessage) *Settings {
 	if len(text) == 0 {
 		src.missing("settings", "what the platform gives an instance")
@@ -342,7 +343,7 @@
 	return s
 }
 
-// Changed names the keys of next that differ and that hold from a start only.
+// Changed returns the keys that differ in next and take effect only at a start.
 func (c *Config) Changed(next *Config) []string {
 	var keys []string
 	for _, k := range []struct {
@@ -364,7 +365,8 @@
 	return keys
 }
 
-// Fronts are all listeners, the platform's first: it has the connections that the operator's own leave.
+// Fronts returns all listeners, the platform's first. The platform's listener gets the connections that the operator's
+// listeners leave.
 func (c *Config) Fronts() []frontend.Listener {
 	platform := frontend.Listener{Address: c.Listen, Connections: c.Inbound}
 	for _, l := range c.Operator.Frontend.HTTP {
@@ -373,7 +375,7 @@
 	return append([]frontend.Listener{platform}, c.Operator.Frontend.HTTP...)
 }
 
-// LongestDeadline is the longest that a submitter waits for a job of any class.
+// LongestDeadline returns the longest deadline of any class.
 func (c *Config) LongestDeadline() time.Duration {
 	var longest time.Duration
 	for _, class := range c.Logic.Classes {
--- a/internal/sidecar/config/fault.go
+++ b/internal/sidecar/config/fault.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// Fault is a value that cannot be used, or the lack of one.
+// Fault is an unusable or missing value.
 type Fault struct {
 	File         string
-	Line, Column int // from 1; 0: the file as a whole
+	Line, Column int // position of the value, from 1; 0: the file as a whole
 	Key          string
-	Read         string // "": nothing
+	Read         string // value that was read; empty: the key is missing
 	Allowed      string
 }
 
-// String is one line that names the place, the key, what was read and what is allowed.
+// String returns one line with the position, the key, the value that was read and the allowed values.
 func (f Fault) String() string {
 	place := f.File
 	if f.Line > 0 {
@@ -30,10 +30,10 @@
 	return fmt.Sprintf("%s: %s: %s; allowed: %s", place, f.Key, read, f.Allowed)
 }
 
-// FaultsError are all faults of a configuration, in the order of the files.
+// FaultsError lists all faults of a configuration, in the order of the files.
 type FaultsError []Fault
 
-// Error has a line for each fault.
+// Error returns a line for each fault.
 func (f FaultsError) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
@@ -42,7 +42,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// err is an error only if there is a fault.
+// err returns f as an error, or nil if there are no faults.
 func (f FaultsError) err() error {
 	if len(f) == 0 {
 		return nil
@@ -50,14 +50,14 @@
 	return f
 }
 
-// source is a file as it was read, with the place of each key in it.
+// source is a file that was read, with the position of each key and the faults found.
 type source struct {
 	file   string
 	leaves map[string]leaf
 	faults FaultsError
 }
 
-// fault adds a fault of a key.
+// fault adds a fault for the value of a key.
 func (s *source) fault(key string, read any, allowed string) {
 	f := Fault{File: s.file, Key: key, Read: fmt.Sprint(read), Allowed: allowed}
 	if l, ok := s.leaves[key]; ok {
@@ -69,17 +69,17 @@
 	s.faults = append(s.faults, f)
 }
 
-// under gives fault for the keys of a section.
+// under returns a variant of fault for keys relative to a section.
 func (s *source) under(section string) func(key string, read any, allowed string) {
 	return func(key string, read any, allowed string) { s.fault(section+"."+key, read, allowed) }
 }
 
-// missing adds the lack of a key that is needed.
+// missing adds a fault for a required key that the file does not set.
 func (s *source) missing(key, allowed string) {
 	s.faults = append(s.faults, Fault{File: s.file, Key: key, Allowed: allowed})
 }
 
-// has tells whether the file names a key or one under it.
+// has reports whether the file sets a key.
 func (s *source) has(key string) bool {
 	_, ok := s.leaves[key]
 	return ok
--- a/internal/sidecar/config/operator.go
+++ b/internal/sidecar/config/operator.go
@@ -23,14 +23,14 @@
 // OperatorVersion is the version of the operator's file that this program reads.
 const OperatorVersion = 1
 
-// endMarker ends an operator's file: one that is still being written does not pass for a whole one.
+// endMarker is the last line of an operator's file, so that a file that is still being written is recognized as incomplete.
 const endMarker = "# end"
 
-// maxOperatorBytes bounds the operator's file in bytes.
+// maxOperatorBytes bounds the size of the operator's file.
 const maxOperatorBytes = 1 << 20
 
-// Operator is the operator's own file: what the platform does not tell. A section that it does not name is off or at
-// its defaults. Each section's type is that of the package that it sets.
+// Operator is the content of the operator's file: settings that the platform does not provide. A section that the file does
+// not have is off or at its defaults. The type of each section belongs to the package that it configures.
 type Operator struct {
 	Version  int                `toml:"version"`
 	Log      logging.Settings   `toml:"log"`
@@ -41,14 +41,14 @@
 	Rules    rules.Settings     `toml:"rules"`
 }
 
-// OperatorDefaults are the settings where there is no operator's file.
+// OperatorDefaults returns the settings that apply without an operator's file.
 func OperatorDefaults() Operator {
 	return Operator{Version: OperatorVersion, Log: logging.Defaults(), Replace: handover.Defaults(), Fleet: settings.Defaults(), Rules: rules.Defaults()}
 }
 
 var operatorSchema = sync.OnceValue(func() schema { return schemaOf(reflect.TypeFor[Operator](), "toml") })
 
-// readOperator reads the operator's file; no path is a file that says nothing.
+// readOperator reads the operator's file. An empty path gives the defaults.
 func readOperator(path string) (Operator, *source) {
 	src := &source{file: path}
 	if path == "" {
@@ -65,7 +65,7 @@
 	return parseOperator(path, text)
 }
 
-// parseOperator reads the text of an operator's file and names all that is wrong with it.
+// parseOperator parses and checks the text of an operator's file. The source returned has its faults.
 func parseOperator(path string, text []byte) (Operator, *source) {
 	src := &source{file: path}
 	o := OperatorDefaults()
@@ -73,7 +73,7 @@
 		return o, src
 	}
 	if err := toml.Unmarshal(text, &o); err != nil {
-		// The schema has let through what the type does not take, such as a number that is too large.
+		// The schema admits some values that the type cannot hold, such as a number that is too large.
 		fault := decodeFault(path, "cannot be used", err)
 		if decode := new(toml.DecodeError); errors.As(err, &decode) {
 			fault.Key = strings.Join(decode.Key(), ".")
@@ -92,8 +92,8 @@
 	return o, src
 }
 
-// checkOperatorText checks the text against the schema, and reports whether its known values can be looked at: unknown keys
-// and an end that is missing do not keep them from it.
+// checkOperatorText checks the text against the schema, and reports whether the values of its known keys can be checked
+// further, which unknown keys, missing keys and a missing end marker do not prevent.
 func (s *source) checkOperatorText(text []byte) bool {
 	var probe map[string]any
 	if err := toml.Unmarshal(text, &probe); err != nil {
@@ -113,7 +113,7 @@
 	return !slices.ContainsFunc(s.faults, func(f Fault) bool { return f.Read != unknownKey && f.Key != "" && f.Read != "" })
 }
 
-// checkEnd reports a file that does not end with the end marker: it may have been cut off.
+// checkEnd adds a fault if the file does not end with the end marker, since it may be truncated.
 func (s *source) checkEnd(text []byte) {
 	trimmed := bytes.TrimRight(text, "\r\n\t ")
 	if last := trimmed[bytes.LastIndexByte(trimmed, '\n')+1:]; string(last) == endMarker {
@@ -124,7 +124,7 @@
 		Allowed: fmt.Sprintf("its last line must be %q", endMarker)})
 }
 
-// decodeFault is the fault of a text that cannot be decoded, with the place that the decoder names.
+// decodeFault returns the fault for a text that cannot be decoded, with the position that the decoder reports.
 func decodeFault(path, read string, err error) Fault {
 	fault := Fault{File: path, Read: read, Allowed: strings.TrimPrefix(err.Error(), "toml: ")}
 	if decode := new(toml.DecodeError); errors.As(err, &decode) {
@@ -133,7 +133,8 @@
 	return fault
 }
 
-// NamesFleet tells whether an operator's file names a fleet. A file with faults names none: they are told at the start.
+// NamesFleet reports whether an operator's file names a fleet. It returns false for a file with faults, which are reported at
+// the start.
 func NamesFleet(path string) bool {
 	o, src := readOperator(path)
 	return len(src.faults) == 0 && o.Fleet.Enabled()
--- a/internal/sidecar/config/scan.go
+++ b/internal/sidecar/config/scan.go
@@ -16,15 +16,15 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// leaf is a key of a file: where it stands and what stands behind it.
+// leaf is a key of a file with its position and its value.
 type leaf struct {
-	path         string // such as settings.classes[0].effect
+	path         string // path of the key, such as settings.classes[0].effect
 	line, column int
 	kind         kind
-	raw          string // as it was written, of a scalar
+	raw          string // text of a scalar value as written
 }
 
-// kind is what a value can be in either format.
+// kind is the type of a value in JSON or TOML.
 type kind uint8
 
 const (
@@ -42,7 +42,7 @@
 	return [...]string{"any value", "null", "text", "a number", "a whole number", "true or false", "a list", "a table"}[k]
 }
 
-// scanJSON finds every key of a JSON text. It ends at the first fault of the syntax, which json.Unmarshal names.
+// scanJSON returns every key of a JSON text. It stops at the first syntax error, which json.Unmarshal reports in detail.
 func scanJSON(src []byte) ([]leaf, error) {
 	s := &jsonScan{src: src, dec: json.NewDecoder(bytes.NewReader(src))}
 	s.dec.UseNumber()
@@ -56,7 +56,7 @@
 	leaves []leaf
 }
 
-// value scans a value and what lies in it.
+// value scans a value and the values nested in it.
 func (s *jsonScan) value(path string) error {
 	l, err := s.leaf(path)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return err
 }
 
-// leaf scans a value, or the beginning of a list or table.
+// leaf scans a scalar value, or the start of a list or table.
 func (s *jsonScan) leaf(path string) (leaf, error) {
 	from := int(s.dec.InputOffset())
 	from += len(s.src[from:]) - len(bytes.TrimLeft(s.src[from:], " \t\r\n:,"))
@@ -150,7 +150,7 @@
 	return path + "." + key
 }
 
-// scanTOML finds every key of a TOML text. It ends at the first fault of the syntax, which toml.Unmarshal names.
+// scanTOML returns every key of a TOML text. It stops at the first syntax error, which toml.Unmarshal reports in detail.
 func scanTOML(src []byte) ([]leaf, error) {
 	s := &tomlScan{lists: map[string]int{}}
 	s.p.Reset(src)
@@ -173,16 +173,16 @@
 
 type tomlScan struct {
 	p      unstable.Parser
-	lists  map[string]int // tables of a list so far
+	lists  map[string]int // number of tables so far in each list of tables, by path
 	leaves []leaf
 	last   leaf
 }
 
-// keys adds the keys of a dotted name, the last one of a kind, and gives its path.
+// keys adds the keys of a dotted name, and returns the path of the last one, whose kind is k.
 func (s *tomlScan) keys(path string, it unstable.Iterator, k kind) string {
 	for it.Next() {
 		path = join(path, string(it.Node().Data))
-		if n := s.lists[path]; n > 0 && !it.IsLast() { // what follows is of the last table of a list
+		if n := s.lists[path]; n > 0 && !it.IsLast() { // the rest of the name is in the last table of the list
 			path = fmt.Sprintf("%s[%d]", path, n-1)
 			continue
 		}
@@ -202,7 +202,7 @@
 	s.value(len(s.leaves)-1, path, e.Value())
 }
 
-// value fills in what stands behind the key that was added at a place.
+// value fills in the value of the leaf at an index.
 func (s *tomlScan) value(at int, path string, v *unstable.Node) {
 	l := &s.leaves[at]
 	l.raw = string(v.Data)
@@ -227,15 +227,15 @@
 		for it := v.Children(); it.Next(); {
 			s.keyValue(path, it.Node())
 		}
-	default: // dates and times: nothing here takes them
+	default: // dates and times, which no setting accepts
 		l.kind = null
 	}
 }
 
-// schema is what a settings type takes: the kind of each key, with [] for the place in a list and * for any key.
+// schema describes the keys of a settings type: the kind of each path, with [] for the index of a list and * for any key.
 type schema map[string]kind
 
-// schemaOf reads a type's fields by a tag.
+// schemaOf derives the schema of a type from the names in a struct tag.
 func schemaOf(t reflect.Type, tag string) schema {
 	s := schema{}
 	s.add(t, tag, "")
@@ -281,7 +281,7 @@
 
 var places = sync.OnceValue(func() *regexp.Regexp { return regexp.MustCompile(`\[\d+\]`) })
 
-// find gives the kind of a path.
+// find returns the kind of a path and whether the schema has the path.
 func (s schema) find(path string) (kind, bool) {
 	path = places().ReplaceAllString(path, "[]")
 	if k, ok := s[path]; ok {
@@ -294,14 +294,14 @@
 	return anything, false
 }
 
-// unknownKey stands in a fault for what was read.
+// unknownKey is the Read of a fault for an unknown key.
 const unknownKey = "unknown key"
 
-// check adds a fault for each key whose value is of another kind than the schema says, and, if strict, for each that
-// the schema does not know.
+// check adds a fault for each key whose value is of the wrong kind and, if strict, for each key that the schema does not
+// have. Keys under an unknown key get no fault of their own.
 func (s schema) check(src *source, leaves []leaf, strict bool) {
 	src.leaves = make(map[string]leaf, len(leaves))
-	unknown := "" // what stands under an unknown key needs no words of its own
+	unknown := "" // path of the last unknown key; keys under it get no fault of their own
 	for _, l := range leaves {
 		src.leaves[l.path] = l
 		want, known := s.find(l.path)
@@ -326,7 +326,7 @@
 	}
 }
 
-// nearest gives the known key that a misspelt one is likely to stand for, or none.
+// nearest returns the known key that a misspelt path most likely stands for, or an empty string.
 func (s schema) nearest(path string) string {
 	path = places().ReplaceAllString(path, "[]")
 	best, least := "", len(path)/2+1
@@ -343,7 +343,7 @@
 	return best
 }
 
-// distance is the number of single letters to insert, remove or replace between two words (Levenshtein, 1966).
+// distance returns the Levenshtein distance of two strings: the number of bytes to insert, remove or replace.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/sidecar/config/settings.go
+++ b/internal/sidecar/config/settings.go
@@ -12,17 +12,17 @@
 // Millis is a JSON number of milliseconds.
 type Millis float64
 
-// maxMillis bounds a time of the settings: about 30 years, far from where a duration overflows.
+// maxMillis bounds a duration of the settings: about 30 years, far below the overflow of time.Duration.
 const maxMillis = 1e12
 
-// Duration gives m in whole microseconds, the finest unit of the simulator.
+// Duration returns m rounded to whole microseconds, the resolution of the simulator.
 func (m Millis) Duration() time.Duration {
 	return time.Duration(math.Round(float64(m)*1000)) * time.Microsecond
 }
 
 // Settings is the object that an instance receives at its start: in the
 // simulator's first message, or under "settings" in a sidecar's configuration.
-// Keys that are not known are ignored.
+// Unknown keys are ignored.
 type Settings struct {
 	Balancers          int     `json:"balancers"`
 	Discovery          string  `json:"discovery"`
@@ -84,7 +84,7 @@
 	"": logic.GroupAll, "all": logic.GroupAll, "zone": logic.GroupZone, "cell": logic.GroupCell,
 }
 
-// ParseSettings reads the settings from JSON.
+// ParseSettings decodes the settings from JSON.
 func ParseSettings(text []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := json.Unmarshal(text, s); err != nil {
@@ -93,7 +93,7 @@
 	return s, nil
 }
 
-// Logic turns the settings into what the decision module is told.
+// Logic checks the settings and converts them into the configuration of the decision module.
 func (s *Settings) Logic() (logic.Config, error) {
 	if err := checkDurations("settings: ", s.durations()); err != nil {
 		return logic.Config{}, err
@@ -138,13 +138,13 @@
 	}
 }
 
-// namedDuration is a duration of the settings with its key.
+// namedDuration is a duration of the settings and its key.
 type namedDuration struct {
 	key   string
 	value Millis
 }
 
-// durations are those that stand by themselves, in the order in which they are checked.
+// durations returns the durations outside the classes, in the order in which they are checked.
 func (s *Settings) durations() []namedDuration {
 	return []namedDuration{
 		{"tick_ms", s.Tick},
@@ -158,7 +158,7 @@
 	}
 }
 
-// checkDurations names the first duration that is out of range, behind a prefix that says where it stands.
+// checkDurations returns an error for the first duration that is out of range. prefix is the path of the keys.
 func checkDurations(prefix string, durations []namedDuration) error {
 	for _, duration := range durations {
 		if math.Abs(float64(duration.value)) > maxMillis {
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// tenants are those of the settings, checked.
+// tenants checks and converts the tenants of the settings.
 func (s *Settings) tenants() ([]logic.Tenant, error) {
 	var tenants []logic.Tenant
 	for i, p := range s.Projects {
@@ -181,7 +181,7 @@
 	return tenants, nil
 }
 
-// classes are those of the settings, checked.
+// classes checks and converts the classes of the settings.
 func (s *Settings) classes() ([]logic.Class, error) {
 	var classes []logic.Class
 	for i, c := range s.Classes {
--- a/internal/sidecar/config/show.go
+++ b/internal/sidecar/config/show.go
@@ -11,13 +11,13 @@
 type Shown struct {
 	Key   string `json:"key"`
 	Value any    `json:"value"`
-	From  string `json:"from"` // default, the environment's variable or the file
+	From  string `json:"from"` // origin of the value: default, the environment variable or the file
 }
 
-// secret stands for a value that is not shown.
+// secret replaces a value that must not be shown.
 const secret = "(secret)"
 
-// show lists the fields of a settings type, those of the tag, in their order. A field tagged secret is blanked.
+// show lists the fields of a settings type that have the tag, in their order. The value of a field tagged secret is hidden.
 func show(v reflect.Value, tag, path string, from func(key string) string) []Shown {
 	var all []Shown
 	switch v.Kind() {
