--- a/internal/sidecar/handover/handover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -66,7 +66,7 @@
 	return 0
 }
 
-// listeners are a TCP and a Unix-socket listener.
+// listeners returns a TCP and a Unix-socket listener.
 func listeners(t *testing.T) map[string]net.Listener {
 	t.Helper()
 	u, err := net.Listen("unix", filepath.Join(t.TempDir(), "x.sock"))
@@ -78,7 +78,7 @@
 	return map[string]net.Listener{"tcp": scenario.Listen(t), "unix": u}
 }
 
-// What waits in the queue of a socket while the process is replaced is served by the new one.
+// Connections that wait in the accept queue of a socket while the process is replaced are served by the new process.
 func TestTheNewProcessServesWhatWaits(t *testing.T) {
 	t.Setenv(role, "serves")
 	lns := listeners(t)
@@ -109,11 +109,12 @@
 	}
 }
 
-// Whatever keeps a new process from getting ready, the old one goes on, and its sockets accept as before.
+// If the new process does not become ready, for whatever reason, the old process continues to serve and its sockets accept as
+// before.
 func TestTheOldProcessGoesOn(t *testing.T) {
 	for name, c := range map[string]struct {
 		binary, role string
-		patience     time.Duration
+		timeout      time.Duration
 		want         error
 	}{
 		"it hangs":        {os.Args[0], "hangs", 200 * time.Millisecond, ErrTimeout},
@@ -122,7 +123,7 @@
 	} {
 		t.Setenv(role, c.role)
 		lns := listeners(t)
-		if _, err := Start(t.Context(), c.binary, nil, lns, c.patience); !errors.Is(err, c.want) {
+		if _, err := Start(t.Context(), c.binary, nil, lns, c.timeout); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 		for address, ln := range lns {
@@ -144,7 +145,7 @@
 			if err := <-accepted; err != nil {
 				t.Errorf("%s, %s: %v", name, address, err)
 			}
-			// An accept that nothing comes to must still end with its listener.
+			// A pending accept without a connection must still end when its listener is closed.
 			go func() {
 				_, err := ln.Accept()
 				accepted <- err
@@ -177,7 +178,8 @@
 	}
 }
 
-// Who gives a replacement up while the new process starts does not wait for its patience to run out, and has ended it then.
+// A caller that cancels a replacement while the new process starts does not wait for the timeout, and the new process has
+// ended when Start returns.
 func TestGivenUp(t *testing.T) {
 	t.Setenv(role, "hangs")
 	ln := scenario.Listen(t)
@@ -191,15 +193,15 @@
 	select {
 	case err := <-ended:
 		if !errors.Is(err, ErrCanceled) {
-			t.Errorf("it ended with %v", err)
+			t.Errorf("Start returned %v after the cancel", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("it waits on")
+		t.Error("Start still waits after the cancel")
 	}
 }
 
-// A process that has said that it is ready has taken over, though the time for it is over by the look: a read alone sees
-// nothing then. One that says nothing, or has ended, has not.
+// A process that has signaled that it is ready counts as having taken over, even if the deadline has passed when the pipe is
+// checked: a read alone returns nothing then. A process that has signaled nothing, or has exited without it, does not.
 func TestReadyIsSeenAfterItsTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		say  func(w *os.File) error
@@ -218,13 +220,13 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		if _, err := r.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("%s: the read gave %v", name, err)
+			t.Fatalf("%s: the read returned %v", name, err)
 		}
 		if got := signaledReady(r); got != c.want {
-			t.Errorf("%s: seen %t", name, got)
+			t.Errorf("%s: signaledReady returned %t", name, got)
 		}
 		_ = r.Close()
-		_ = w.Close() // some have closed it
+		_ = w.Close() // some cases have closed it
 	}
 }
 
