--- a/internal/sidecar/daemon/daemon_test.go
+++ b/internal/sidecar/daemon/daemon_test.go
@@ -16,7 +16,7 @@
 	"fieldrelay/internal/sidecar/reconfig"
 )
 
-// idle is a daemon that serves nothing; it writes down what its one part is asked to do.
+// idle is a daemon that serves nothing. It records the calls of its one participant.
 func idle(t *testing.T, operator string) (*daemon, *[]string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -39,7 +39,7 @@
 	return d, &log
 }
 
-// A reload that is asked for while a new process starts is not lost if that does not take over.
+// A reload that is requested while a new process starts is not lost if the new process fails to take over.
 func TestReloadWaitsForAReplacement(t *testing.T) {
 	d, log := idle(t, "version = 1\n[replace]\nenabled = true\n# end\n")
 	d.replacing = true
@@ -61,8 +61,8 @@
 	}
 }
 
-// A daemon that is to end while a new process starts does not wait for that one's time-out; whether that has taken over is
-// known from how its start ended.
+// A daemon that terminates while a new process starts does not wait for the timeout of the start. The result of the start
+// tells whether the new process has taken over.
 func TestTheEndWaitsForNoReplacement(t *testing.T) {
 	for name, taken := range map[string]bool{"it has not taken over": false, "it has, at that moment": true} {
 		d, log := idle(t, "version = 1\n[replace]\nenabled = true\n# end\n")
@@ -86,7 +86,7 @@
 				t.Errorf("%s: told %t, and %v", name, over, *log)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%s: it waits on", name)
+			t.Fatalf("%s: the daemon still waits for the new process", name)
 		}
 	}
 }
--- a/internal/sidecar/daemon/golden_test.go
+++ b/internal/sidecar/daemon/golden_test.go
@@ -14,9 +14,9 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// Guards what a sidecar leaves to the process after it: a file of an earlier program is found under its name and holds
-// what was suspended by hand and what the fleet said.
-// (The file's bytes hold the time of writing and are not compared.) With -update it is written anew.
+// Guards the state that a sidecar stores for the next process: a file of an earlier program is found under its name and has
+// the suspensions by hand and the statements of the fleet.
+// (The file's bytes include the time of writing and are not compared.) With -update the file is written again.
 func TestGoldenKeptFileIsReadBack(t *testing.T) {
 	const name = "fieldrelay-golden.kept"
 	golden := filepath.Join("testdata", name)
--- a/internal/sidecar/daemon/management_test.go
+++ b/internal/sidecar/daemon/management_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// The clients' socket that the platform holds is served as it is: a connection made to it is accepted through
-// the descriptor, and nothing else is bound.
+// The platform's listening socket is served as inherited: a connection to it is accepted through the descriptor, and no other
+// socket is bound.
 func TestPlatformSocket(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +50,8 @@
 	}
 }
 
-// What one process suspends, the next one reads; a file that is not a list is an error, none is none.
+// Suspensions that one process stores are read by the next one. A file that is not a list is an error; no file means no
+// suspensions.
 func TestSuspensionsKept(t *testing.T) {
 	dir := t.TempDir()
 	o := &operations{fleetSuspensions: &fleetSuspensions{}, stored: newStoredState(dir, "s")}
@@ -61,7 +62,8 @@
 	if names, err := loadSuspensions(o.stored); err != nil || !slices.Equal(names, []string{"a", "b"}) {
 		t.Fatalf("kept: %v %v", names, err)
 	}
-	// What only the fleet has suspended is the fleet's to restore: kept as by hand, it would stay so for good.
+	// A server that only the fleet has suspended is restored by the fleet: stored as suspended by hand, it would stay suspended
+	// forever.
 	o.fleetSuspensions.byFleet, o.fleetSuspensions.byHand = []string{"b", "c"}, map[string]bool{"c": true}
 	o.store([]string{"a", "b", "c"})
 	if names, err := loadSuspensions(o.stored); err != nil || !slices.Equal(names, []string{"a", "c"}) {
@@ -73,7 +75,7 @@
 	if names, err := loadSuspensions(o.stored); err == nil {
 		t.Errorf("a broken file is taken: %q", names)
 	}
-	// What a program before the store kept goes on, and is gone once it is kept anew.
+	// The file of a version before the store is read, and is removed once the suspensions are stored again.
 	earlier := newStoredState(dir, "e")
 	if err := os.WriteFile(earlier.legacyFiles[keySuspended], []byte(`["x"]`), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/daemon/process_test.go
+++ b/internal/sidecar/daemon/process_test.go
@@ -21,7 +21,7 @@
 	"fieldrelay/internal/testkit/scenario"
 )
 
-// program builds the sidecar.
+// program builds the sidecar's executable.
 func program(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "fieldrelay")
@@ -31,7 +31,7 @@
 	return binary
 }
 
-// process is a sidecar that runs.
+// process is a running sidecar.
 type process struct {
 	cmd  *exec.Cmd
 	addr string
@@ -44,7 +44,7 @@
 	}
 }
 
-// start starts a sidecar whose configuration says that it has so many descriptors, with so many in fact.
+// start starts a sidecar with a number of descriptors in its configuration and a number that the system gives it.
 func start(t *testing.T, binary string, sockets, in int, discovery string, known []fakebackend.Entry) *process {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	p := &process{addr: ln.Addr().String()}
-	closeIt(t, ln) // its port is the sidecar's
+	closeIt(t, ln) // the sidecar binds its port
 	config, err := json.Marshal(map[string]any{"listen": p.addr, "discovery": discovery, "seed": "1",
 		"limits": map[string]any{"sockets": sockets}, "known": json.RawMessage(fakebackend.Object(1, known)),
 		"settings": json.RawMessage(sidecarSettings)})
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_, _ = p.cmd.Process.Kill(), p.cmd.Wait() // it may have ended already
+		_, _ = p.cmd.Process.Kill(), p.cmd.Wait() // an error means that it has ended already
 	})
 	return p
 }
@@ -96,7 +96,7 @@
 	return status
 }
 
-// cpu is the processor time that the process has used.
+// cpu returns the processor time that the process has used.
 func (p *process) cpu(t *testing.T) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
@@ -109,8 +109,8 @@
 	return time.Duration(user+system) * 10 * time.Millisecond // a tick is a hundredth of a second
 }
 
-// Clients that connect and stay fill what the sidecar has for them, while discovery is down. Requests go on being served, the
-// list is asked for and heard as soon as discovery is back, nothing spins, and the process lives: also where the system gives
+// Idle clients take all of the sidecar's client connections while discovery is down. Requests are still served, the list is
+// requested and received as soon as discovery is back, no loop spins, and the process survives, even if the system gives
 // fewer descriptors than the configuration says.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	const sockets = 64
@@ -132,18 +132,18 @@
 			var idle []net.Conn
 			defer func() {
 				for _, nc := range idle {
-					_ = nc.Close() // the sidecar may have ended it
+					_ = nc.Close() // the sidecar may have closed the connection
 				}
 			}()
 			begun, used := time.Now(), p.cpu(t)
-			for len(idle) < sockets { // more than half of them wait in the system's queue
+			for len(idle) < sockets { // more than half of them wait in the accept queue
 				nc, err := net.Dial("tcp", p.addr)
 				if err != nil {
 					t.Fatal(err)
 				}
 				idle = append(idle, nc)
-				if len(idle)%2 == 0 { // and some have asked once
-					_, _ = fmt.Fprint(nc, "GET /ready HTTP/1.1\r\nHost: o\r\n\r\n") // the sidecar may have ended it
+				if len(idle)%2 == 0 { // some of them have sent one request
+					_, _ = fmt.Fprint(nc, "GET /ready HTTP/1.1\r\nHost: o\r\n\r\n") // the sidecar may have closed the connection
 				}
 			}
 			scenario.Await(t, "a request is served", func() bool { return p.ask("/look") == http.StatusOK })
@@ -155,7 +155,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { _ = back.Close() })
-			// By then, what it says counts as notified.
+			// After this time a list from discovery counts as notified.
 			if err := back.(*net.TCPListener).SetDeadline(time.Now().Add(6 * time.Second)); err != nil {
 				t.Fatal(err)
 			}
@@ -174,8 +174,9 @@
 	}
 }
 
-// Thirty sidecars that start at once are ready in time, with discovery down and most of the list that they kept dead, and with
-// discovery that takes calls and says nothing: nine in ten within 10 s. Here it is all, and soon.
+// Thirty sidecars that start at once become ready in time, both with discovery down and most servers of the stored list dead,
+// and with a discovery that accepts calls and sends nothing. The requirement is nine in ten within 10 s;
+// here all become ready well before that.
 func TestThirtyStartAtOnce(t *testing.T) {
 	const sidecars, within = 30, 10 * time.Second
 	node, err := fakebackend.NewNode(0, 2)
--- a/internal/sidecar/daemon/run_test.go
+++ b/internal/sidecar/daemon/run_test.go
@@ -16,9 +16,9 @@
 const sidecarSettings = `{"tick_ms":5,"discovery":"subscribe","classes":[{"name":"look","effect":"free","aim_ms":400,"deadline_ms":5000}],
 	"contract":{"ask_every_ms":10000},"limits":{"send_cap":2,"may_cancel":true}}`
 
-// The whole program: a job finds its way through the parts to a node, a bad new file changes nothing, a good one
-// moves the list though the environment names the old place, and what is taken before SIGTERM is answered before
-// the program leaves with success.
+// The whole program: a request reaches an execute node, an invalid new file changes nothing, a valid one moves the list to
+// another address although the environment names the previous one, and requests accepted before SIGTERM are answered before
+// the program exits with success.
 func TestServeReloadAndTerminate(t *testing.T) {
 	node, discovery, moved := scenario.Listen(t), scenario.Listen(t), scenario.Listen(t)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -71,7 +71,7 @@
 		signalSelf(t, syscall.SIGHUP)
 		<-log.reloads
 	}
-	// A file that is cut short changes nothing, in the other file neither.
+	// A truncated operator's file changes nothing, and neither do the changes in the other file.
 	stage.Calls["operator"] = func(text string) {
 		operator(text)
 		signalSelf(t, syscall.SIGHUP)
@@ -105,8 +105,7 @@
 		wait ended <nil>`))
 }
 
-// Told to end, the program ends once, whatever it is told further: a second SIGTERM and a SIGHUP change nothing for what it has
-// taken.
+// A second SIGTERM and a SIGHUP during the shutdown change nothing for the requests that the program has accepted.
 func TestSignalsAfterTheFirst(t *testing.T) {
 	node, discovery := scenario.Listen(t), scenario.Listen(t)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -149,7 +148,7 @@
 		wait ended <nil>`)
 }
 
-// logLines is a log that passes on the address at which the program serves, and that it has tried to reload.
+// logLines is a log that reports the address at which the program serves, and each attempt to reload.
 type logLines struct {
 	listen  chan string
 	reloads chan struct{}
@@ -169,8 +168,8 @@
 	return len(line), nil
 }
 
-// Where lists are pushed the module asks for nothing, and what the agent has counts as told at once: the program opens the
-// watch by itself, and again after a loss.
+// Where lists are pushed, the decision module requests no list, and a change that the agent has counts as notified at once:
+// the program opens the watch by itself, and again after a loss.
 func TestPushedListIsWatched(t *testing.T) {
 	discovery := scenario.Listen(t)
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/internal/sidecar/manage/manage_test.go
+++ b/internal/sidecar/manage/manage_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// A caller that says nothing holds up no other.
+// A client that sends nothing does not delay others.
 func TestSilentCallers(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", &fake{ready: true, suspended: map[string]bool{}}, zerolog.Nop())
 	if err != nil {
--- a/internal/sidecar/memorytuner/resident_test.go
+++ b/internal/sidecar/memorytuner/resident_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// What the runtime counts and has never touched is no memory: the soft limit is as much higher.
+// Memory that the runtime counts but has never touched is not resident: the soft limit is raised by as much.
 func TestUntouchedMemoryDoesNotCount(t *testing.T) {
 	at := Sizes{Resident: 9 * mb, File: 6 * mb, RuntimeCounted: 3 * mb}
 	p := NewPlan(24*mb, at)
@@ -69,7 +69,7 @@
 	}
 }
 
-// What a burst has left is returned, also if it caused no pressure; what is in use is not.
+// Memory that a burst has left is returned to the system even if the burst caused no pressure; memory in use is not.
 func TestSurplus(t *testing.T) {
 	p := NewPlan(192*mb, Sizes{Resident: 9 * mb})
 	got := []bool{p.Surplus(Sizes{Resident: 12 * mb}, 0), p.Surplus(Sizes{Resident: 80 * mb}, 2*mb), p.Surplus(Sizes{Resident: 80 * mb}, 40*mb)}
@@ -78,7 +78,7 @@
 	}
 }
 
-// The watch calls for relief as long as bytes are short.
+// Watch calls relieve at every check while there is pressure.
 func TestWatchRelieves(t *testing.T) {
 	sizes, err := Read()
 	if err != nil {
