--- a/internal/sidecar/config/config_test.go
+++ b/internal/sidecar/config/config_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// A file that was replaced since the start is newer than the environment; one that names no discovery leaves it.
+// At a reload the file takes precedence over the environment, as it is newer; a file without discovery leaves the environment's.
 func TestReloadTakesDiscoveryFromTheFile(t *testing.T) {
 	env := map[string]string{"LB_DISCOVERY": "127.0.0.1:86"}
 	var got []string
@@ -67,7 +67,7 @@
 	}
 }
 
-// Whoever changes what a reload does not take over is told so.
+// A reload reports changed keys that it does not apply.
 func TestChangedNamesTheKeys(t *testing.T) {
 	was, err := load(t, Load, good, nil)
 	if err != nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-// Whoever starts a sidecar with a faulty file is told which key to mend.
+// A start with a faulty file reports the keys at fault.
 func TestErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{good, `{`, "unexpected end"},
--- a/internal/sidecar/config/interface_test.go
+++ b/internal/sidecar/config/interface_test.go
@@ -55,7 +55,7 @@
 	return cfg, "taken"
 }
 
-// Every key of the platform's file and of the operator's, and what holds without it, are those that were recorded.
+// Every key of the platform's and of the operator's file, and its default, equal the recorded ones.
 func TestRecordedDefaults(t *testing.T) {
 	var lines []string
 	for _, key := range sidecarKeys() {
@@ -94,7 +94,7 @@
 	return keys
 }
 
-// What is refused in either file, and in which words, is what was recorded.
+// The values rejected in either file, and the texts of the faults, equal the recorded ones.
 func TestRecordedBounds(t *testing.T) {
 	var lines []string
 	for _, key := range sidecarKeys() {
@@ -163,7 +163,7 @@
 	}
 }
 
-// What each variable of the environment does is what was recorded.
+// The effect of each environment variable equals the recorded one.
 func TestRecordedEnvironment(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(leastFile), 0o600))
--- a/internal/sidecar/config/operator_test.go
+++ b/internal/sidecar/config/operator_test.go
@@ -13,7 +13,7 @@
 
 const end = "\n# end\n"
 
-// Whoever writes an operator's file learns of every fault at once, with its place.
+// All faults of an operator's file are reported at once, with their positions.
 func TestOperatorFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -56,7 +56,7 @@
 	}
 }
 
-// The file that is shipped names every key, and says what holds without it.
+// The shipped example names every key with its default.
 func TestShippedFileIsTheDefaults(t *testing.T) {
 	const path = "../../../deploy/operator.toml"
 	got, src := readOperator(path)
@@ -77,7 +77,7 @@
 	}
 }
 
-// What is shown is what is in force, and where it was told.
+// The settings shown are those in force, with their origin.
 func TestShown(t *testing.T) {
 	dir := t.TempDir()
 	own := filepath.Join(dir, "operator.toml")
@@ -118,7 +118,7 @@
 	}
 }
 
-// Whatever stands in an operator's file, reading it ends in settings or in faults that name a place.
+// Reading any text as an operator's file results in settings or in faults with a position.
 func FuzzOperator(f *testing.F) {
 	for _, text := range []string{"version = 1" + end, "[log]\nlevel = 'x'", "[[log]]\n[[log.parts]]\na.b = {c = [1, {d = 2}]}", "a = \"\\u00e9\"\n\"a b\".c = 1979-05-27",
 		"version = 1\n[log.parts]\nrelay = 'warn'" + end, "log = {level = 'info', parts = {relay = 1}}", "x = [", "'' = 1"} {
--- a/internal/sidecar/logging/logging_test.go
+++ b/internal/sidecar/logging/logging_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// lines is a log that is read while it is written.
+// lines is a log that can be read while it is written.
 type lines struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -31,7 +31,7 @@
 	return l.buf.String()
 }
 
-// Levels, form and bound take effect at loggers that were made before.
+// Changes of levels, format and limit take effect at loggers that were created before.
 func TestSetReachesLoggersInUse(t *testing.T) {
 	out := &lines{}
 	s := Defaults()
@@ -66,7 +66,8 @@
 	}
 }
 
-// A call site that has said enough for a second says afterwards how much it has left out; others go on meanwhile.
+// A call site that reaches its limit of lines per second reports afterwards how many lines were suppressed; other call sites
+// are not affected.
 func TestRepeatsAreBoundAndCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &lines{}
--- a/internal/sidecar/mailbox/mailbox_test.go
+++ b/internal/sidecar/mailbox/mailbox_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Two actors that send to one another from their messages do not deadlock.
+// Two actors that send to each other from within their messages do not deadlock.
 func TestPutNeverBlocksAndOrderIsKept(t *testing.T) {
 	a, b := New(), New()
 	var got []int
--- a/internal/sidecar/reconfig/reconfig_test.go
+++ b/internal/sidecar/reconfig/reconfig_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// spy writes down what a part is asked to do.
+// spy records the calls of a participant.
 type spy struct {
 	name string
 	log  *[]string
--- a/internal/sidecar/socket/socket_test.go
+++ b/internal/sidecar/socket/socket_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// What waits unread is seen without being taken: a byte, and the end of a connection.
+// Unread data and the end of a connection are detected without being consumed.
 func TestUnread(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("known on Linux only")
@@ -65,7 +65,7 @@
 	}
 }
 
-// The end of the other side is seen behind bytes that nobody has read, and nothing is taken by looking.
+// A close by the peer is detected behind unread bytes, and detecting it consumes nothing.
 func TestDeparted(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("known on Linux only")
@@ -103,7 +103,7 @@
 	}
 }
 
-// A connection that waits to be accepted is seen without being taken.
+// A connection that waits to be accepted is detected without being accepted.
 func TestPending(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("known on Linux only")
@@ -144,7 +144,7 @@
 	}
 }
 
-// One address for both, and a port that another has is no port of ours.
+// TCP and UDP get the same address, and a port that another socket has is not used.
 func TestPair(t *testing.T) {
 	tcp, udp, err := Pair("127.0.0.1:0")
 	if err != nil {
--- a/internal/sidecar/source/endpoints/list_test.go
+++ b/internal/sidecar/source/endpoints/list_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// A list of thousands is not held twice: what its reading allocates is little more than what it is.
+// Decoding a list of thousands of entries makes no second copy of it: it allocates little more than the size of the result.
 func BenchmarkDecode5000(b *testing.B) {
 	entries := make([]string, 5000)
 	for i := range entries {
--- a/internal/sidecar/source/platform/contract_test.go
+++ b/internal/sidecar/source/platform/contract_test.go
@@ -16,7 +16,7 @@
 	"fieldrelay/internal/testkit/contract"
 )
 
-// names is a sink that keeps who is listed.
+// names is a sink that records the names of the listed servers.
 type names struct {
 	now  map[string]bool
 	told func(map[string]bool)
@@ -67,7 +67,7 @@
 	contract.Run(t, contract.SourceClauses, sources)
 }
 
-// Each clause has a source that breaks it, and is named.
+// Each clause of the contract is reported by its name for a source that violates it.
 func TestBrokenSourcesAreNamed(t *testing.T) {
 	wrap := func(told func(func(map[string]bool)) func(map[string]bool), lost func(func()) func(), end func(contract.Source) contract.Source) contract.SourceMaker {
 		m, begin := sources, sources.Begin
@@ -116,7 +116,7 @@
 	}
 }
 
-// deafened asks no second time.
+// deafened opens no second watch.
 type deafened struct {
 	contract.Source
 	once *sync.Once
--- a/internal/sidecar/source/platform/leak_test.go
+++ b/internal/sidecar/source/platform/leak_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// After every test, faults and all, no watch and no actor is left.
+// After every test, including those that inject faults, no goroutine of a watch or an actor is left.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/sidecar/source/platform/source_test.go
+++ b/internal/sidecar/source/platform/source_test.go
@@ -15,7 +15,7 @@
 	"fieldrelay/internal/testkit/scenario"
 )
 
-// recordingSink stands in for the relay.
+// recordingSink is a sink that records its calls, in place of the relay.
 type recordingSink struct{ *scenario.Stage }
 
 func (s recordingSink) ListLost(notifiedAt time.Time) {
@@ -58,11 +58,11 @@
 		"a malformed line is a loss":     begin + head + chunk(`{"generation":x}\n`) + "\n wait lost, notified within 6s\n d wait",
 		"an unknown lifecycle is a loss": begin + head + chunk(strings.Replace(change, "Terminating", "Odd", 1)) + "\n wait lost, notified within 6s\n d wait",
 		"a long line is a loss":          begin + head + `200000\r\n{"generation":4,"note":"` + strings.Repeat("x", maxObjectBytes) + "\n wait lost, notified within 6s\n d wait",
-		// Discovery writes every 2 s: a watch that says nothing is lost, although its connection stays open.
+		// Discovery writes every 2 s: a watch on which nothing arrives is lost, although its connection stays open.
 		"a call that is not answered is a loss": begin + "wait lost, notified within 4s\n d wait",
 		"a watch that tells nothing is a loss":  begin + head + "\n wait lost, notified within 4s\n d wait",
-		// A watch missed changes from its last line on: they count as told 6 s later, so 3.5 s are left once 2.5 s of silence
-		// are noticed. That holds for each further call until one begins.
+		// A lost watch missed changes since its last line. They count as notified 6 s after it, so 3.5 s are left when the
+		// idle timeout of 2.5 s expires. That time stands for each further call until a watch begins.
 		"silence is a loss with little time left": begin + head + chunk(change) + `
 			wait complete=false stored=false h:1/1/7ms
 			wait lost, notified within 4s
@@ -77,7 +77,7 @@
 			wait complete=false stored=false h:1/1/7ms
 			f close
 			wait lost, notified within 6s`,
-		// Where lists are pushed nobody asks: the watch is opened at once, and again after each loss.
+		// Where lists are pushed, Watch is not called: the watch is opened at once, and again after each loss.
 		"a kept watch": `keep send now
 			d expect GET /v1/endpoints?watch=1&after=4 HTTP/1.1\r\n
 			d expect \r\n\r\n
@@ -95,13 +95,13 @@
 			moved expect GET /v1/endpoints?watch=1 HTTP/1.1\r\n
 			moved send HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n
 			wait lost, notified within 4s`,
-		// A second ask replaces the watch; the first must not be told as lost.
+		// A second call of Watch replaces the watch; the first watch must not be reported as lost.
 		"a new watch ends the old one": begin + head + `
 			watch send again
 			d wait
 			e expect after=4 HTTP`,
-		// The generations of another discovery are its own: asked for what came after the old one, it would leave out
-		// what it never saw. The old watch ends unheard, and later ones go to the new address.
+		// Another discovery numbers generations by itself: asked for the changes after a generation of the previous one, it
+		// would leave out changes. The previous watch ends without a report, and later ones go to the new address.
 		"discovery moves": begin + head + `
 			move send away
 			d wait
@@ -137,8 +137,8 @@
 	}
 }
 
-// Half an object is none, and empty lines behind it are no sign that the rest will come: the watch is lost as if it had
-// fallen silent. Between two objects they are signs.
+// After half an object, empty lines do not keep the watch open, since the rest of the object may never come: the watch is lost
+// as if nothing had arrived. Between two objects empty lines keep it open.
 func TestEmptyLinesWithinAnObjectAreNoSign(t *testing.T) {
 	half, _, _ := strings.Cut(change, `{"instanceId"`)
 	for name, c := range map[string]struct{ object, want string }{
@@ -167,7 +167,7 @@
 			defer beats.Stop()
 			begun := time.Now()
 			ended := make(chan struct{})
-			go func() { // until the sidecar gives the watch up or, where it must not, twice the silence is over
+			go func() { // until the watch is lost or, where it must not be, twice the idle timeout is over
 				defer close(ended)
 				for range beats.C {
 					_, err := fmt.Fprint(nc, text.Replace(chunk(`\n`)))
@@ -187,10 +187,10 @@
 	}
 }
 
-// Whatever a failed call was (refused, answered with an error, cut, or hung in its dial or after it), the next one has at least
-// half of the time that was left, and that is enough for a call: the schedule's worst case as a sum.
+// However a call failed (refused, answered with an error, cut, or hung in the dial or after it), the next call has at least
+// half of the remaining time, and that is enough for a call: the worst case of the schedule is computed as a sum.
 func TestTheCallAfterAFailureHasTimeLeft(t *testing.T) {
-	left := notifiedAfterLoss - dialTimeout - idleTimeout // of a call that hung to its end, from when it began
+	left := notifiedAfterLoss - dialTimeout - idleTimeout // time left after a call that hung until its timeouts, counted from its begin
 	if call := left - left/2; call < time.Second {
 		t.Errorf("the next call has %s of the %s after which a change counts as notified", call, notifiedAfterLoss)
 	}
@@ -209,7 +209,7 @@
 	}
 }
 
-// The module knows a server by an id that is the same after a restart, and no two servers share one.
+// The decision module knows a server by an id that is the same after a restart, and no two servers share an id.
 func TestIDsAreStable(t *testing.T) {
 	a, b := New("", nil, nil, zerolog.Nop()), New("", nil, nil, zerolog.Nop())
 	b.idOf("other")
