--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -205,7 +205,7 @@
 	}
 	b, err := logic.New(cfg, seed)
 	if err != nil {
-		wire.Note(&h.reply, "BROKEN", inst, err.Error())
+		wire.WriteText(&h.reply, "BROKEN", inst, err.Error())
 		return nil
 	}
 	h.instances[inst] = b
@@ -217,12 +217,12 @@
 func (h *host) step(inst uint64, b *logic.Balancer, now time.Duration, ev *logic.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			wire.Note(&h.reply, "BROKEN", inst, fmt.Sprint("panic: ", p))
+			wire.WriteText(&h.reply, "BROKEN", inst, fmt.Sprint("panic: ", p))
 			delete(h.instances, inst)
 		}
 	}()
 	h.actions = b.Step(now, ev, h.actions[:0])
 	for i := range h.actions {
-		wire.Action(&h.reply, inst, &h.actions[i])
+		wire.WriteAction(&h.reply, inst, &h.actions[i])
 	}
 }
--- a/internal/sidecar/frontend/http/head.go
+++ b/internal/sidecar/frontend/http/head.go
@@ -127,7 +127,7 @@
 // queueDelay returns how long the last byte of a request has waited in the socket's receive buffer. Without it, a
 // sidecar that got no CPU time for a while would overestimate the client's remaining time, and answer too late.
 func queueDelay(nc net.Conn) time.Duration {
-	unread := socket.Quiet(nc)
+	unread := socket.SinceLastReceive(nc)
 	if unread > readTimeout { // no request waits for so long: the operating system does not know the delay
 		return 0
 	}
--- a/internal/sidecar/frontend/http/listener.go
+++ b/internal/sidecar/frontend/http/listener.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	quiet := socket.Quiet(nc) // the connection may have waited in the backlog
+	quiet := socket.SinceLastReceive(nc) // the connection may have waited in the backlog
 	c := &watchedConn{Conn: nc, listener: l, connCharge: l.gate.ForceReserve(budget.Conns, connBytes),
 		idleSince: time.Now().Add(-quiet), firstDeadline: time.Now().Add(max(readTimeout-quiet, minReadTimeout))}
 	l.mu.Lock()
--- a/internal/sidecar/manage/manage_test.go
+++ b/internal/sidecar/manage/manage_test.go
@@ -79,17 +79,17 @@
 		{"SUSPEND n1 all", "fail"},
 		{"STATUS fleet", "fail"},
 	} {
-		got := Do(f, c.line)
+		got := Execute(f, c.line)
 		if !strings.HasPrefix(got[0], c.first) {
 			t.Errorf("%q: %q, want %s", c.line, got, c.first)
 		}
 	}
-	if got := Do(f, "METRICS"); len(got) != 3 || got[1] != "lb.inflight:2|g" || got[2] != "eof" {
+	if got := Execute(f, "METRICS"); len(got) != 3 || got[1] != "lb.inflight:2|g" || got[2] != "eof" {
 		t.Errorf("METRICS: %q", got)
 	}
 }
 
-// A caller that says nothing holds up no other.
+// A client that sends nothing does not delay others.
 func TestSilentCallers(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", &fake{ready: true, suspended: map[string]bool{}}, zerolog.Nop())
 	if err != nil {
--- a/internal/sidecar/socket/socket_test.go
+++ b/internal/sidecar/socket/socket_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// What waits unread is seen without being taken: a byte, and the end of a connection.
+// Unread data and the end of a connection are detected without being consumed.
 func TestUnread(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("known on Linux only")
@@ -65,7 +65,7 @@
 	}
 }
 
-// The end of the other side is seen behind bytes that nobody has read, and nothing is taken by looking.
+// A close by the peer is detected behind unread bytes, and detecting it consumes nothing.
 func TestDeparted(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("known on Linux only")
@@ -81,14 +81,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			near, far := pair(t)
-			before := Departed(near)
+			before := PeerClosed(near)
 			write(t, far, "xy")
 			scenario.Await(t, "the bytes have come", func() bool { return Unread(near) })
-			unread := Departed(near)
+			unread := PeerClosed(near)
 			if err := end(far.(*net.TCPConn)); err != nil {
 				t.Fatal(err)
 			}
-			scenario.Await(t, "the end is seen", func() bool { return Departed(near) })
+			scenario.Await(t, "the end is seen", func() bool { return PeerClosed(near) })
 			if diff := cmp.Diff([]bool{false, false}, []bool{before, unread}); diff != "" {
 				t.Errorf("departed while it was there (-want +got):\n%s", diff)
 			}
@@ -98,12 +98,12 @@
 	if err := near.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if !Departed(near) {
+	if !PeerClosed(near) {
 		t.Error("a connection closed on this side passes for one whose other side is there")
 	}
 }
 
-// A connection that waits to be accepted is seen without being taken.
+// A connection that waits to be accepted is detected without being accepted.
 func TestPending(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("known on Linux only")
@@ -134,17 +134,17 @@
 	near, far := pair(t)
 	const quiet = 100 * time.Millisecond
 	time.Sleep(quiet) // the time itself is what is measured
-	if got := Quiet(near); got < quiet/2 {
+	if got := SinceLastReceive(near); got < quiet/2 {
 		t.Errorf("%v after %v without a byte", got, quiet)
 	}
 	write(t, far, "x")
 	readByte(t, near)
-	if got := Quiet(near); got > quiet/2 {
+	if got := SinceLastReceive(near); got > quiet/2 {
 		t.Errorf("%v after a byte", got)
 	}
 }
 
-// One address for both, and a port that another has is no port of ours.
+// TCP and UDP get the same address, and a port that another socket has is not used.
 func TestPair(t *testing.T) {
 	tcp, udp, err := Pair("127.0.0.1:0")
 	if err != nil {
--- a/internal/sidecar/wire/wire.go
+++ b/internal/sidecar/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire parses and prints the simulator's lines. It decides nothing.
+// Package wire parses and prints the lines of the simulator's protocol. It makes no decisions.
 package wire
 
 import (
@@ -14,7 +14,7 @@
 	"fieldrelay/internal/sidecar/logic"
 )
 
-// Line is one line of the wire: its tag and its name=value parts.
+// Line is one line of the protocol: a tag and name=value fields.
 type Line struct {
 	Tag    string
 	fields []field
@@ -22,10 +22,10 @@
 
 type field struct{ name, value string }
 
-// restOfLine names the fields whose value runs to the end of the line.
-func restOfLine(name string) bool { return name == "settings" || name == "note_text" }
+// extendsToEnd reports whether the value of a field extends to the end of the line, spaces included.
+func extendsToEnd(name string) bool { return name == "settings" || name == "note_text" }
 
-// ParseLine takes a line apart. The buffer is reused for its parts.
+// ParseLine parses a line into line, whose buffer of fields is reused.
 func ParseLine(text string, line *Line) error {
 	line.fields = line.fields[:0]
 	tag, rest, _ := strings.Cut(text, " ")
@@ -38,7 +38,7 @@
 		if !ok || name == "" {
 			return fmt.Errorf("%s: part %q is not name=value", tag, rest)
 		}
-		if restOfLine(name) {
+		if extendsToEnd(name) {
 			rest = ""
 		} else {
 			value, rest, _ = strings.Cut(value, " ")
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// Text gives the value of a field and whether it is there.
+// Text returns the value of a field and whether the line has the field.
 func (l *Line) Text(name string) (string, bool) {
 	for _, p := range l.fields {
 		if p.name == name {
@@ -58,11 +58,11 @@
 	return "", false
 }
 
-// Int gives a whole number; an absent field is 0 unless it is needed.
-func (l *Line) Int(name string, needed bool) (uint64, error) {
+// Int returns the value of a field that is a whole number. An absent field is 0, or an error if it is required.
+func (l *Line) Int(name string, required bool) (uint64, error) {
 	text, ok := l.Text(name)
 	if !ok {
-		if needed {
+		if required {
 			return 0, fmt.Errorf("%s: no %s", l.Tag, name)
 		}
 		return 0, nil
@@ -74,11 +74,11 @@
 	return n, nil
 }
 
-// Time gives a time in milliseconds as a duration.
-func (l *Line) Time(name string, needed bool) (time.Duration, error) {
+// Time returns the value of a field in milliseconds as a duration. An absent field is 0, or an error if it is required.
+func (l *Line) Time(name string, required bool) (time.Duration, error) {
 	text, ok := l.Text(name)
 	if !ok {
-		if needed {
+		if required {
 			return 0, fmt.Errorf("%s: no %s", l.Tag, name)
 		}
 		return 0, nil
@@ -98,7 +98,7 @@
 
 var states = map[string]logic.State{"live": logic.Ready, "quiescing": logic.Draining, "dead": logic.Gone}
 
-// Entry reads one ENTRY line.
+// Entry decodes an ENTRY line.
 func (l *Line) Entry() (logic.Server, error) {
 	var s logic.Server
 	if l.Tag != "ENTRY" {
@@ -120,8 +120,9 @@
 	return s, errors.Join(errs[:]...)
 }
 
-// Event reads an event of the balancer. It gives false for a tag that carries
-// none (one that is not known, or that this library has no use for).
+// Event decodes an event for the balancer. It returns false for a line that
+// carries none: one whose tag is unknown or not used here, or a REMINDER
+// whose token is not one of this library.
 func (l *Line) Event(ev *logic.Event) (bool, error) {
 	var errs [4]error
 	*ev = logic.Event{}
@@ -153,7 +154,7 @@
 		kind, ref, _ := strings.Cut(token, ".")
 		k, err1 := strconv.ParseUint(kind, 10, 8)
 		id, err2 := strconv.ParseUint(ref, 10, 64)
-		if err1 != nil || err2 != nil { // not one of ours: no timer to wake for
+		if err1 != nil || err2 != nil { // the token was not written by WriteAction: it belongs to no timer
 			return false, nil
 		}
 		ev.Timer = logic.Timer{Kind: logic.TimerKind(k), ID: id}
@@ -181,7 +182,7 @@
 	return errors.Join(errs[:]...)
 }
 
-// Settings reads the settings of an instance. Keys that are not known are ignored.
+// Settings decodes the settings of an instance. Unknown keys are ignored.
 func Settings(text string) (logic.Config, error) {
 	s, err := config.ParseSettings([]byte(text))
 	if err != nil {
@@ -190,58 +191,59 @@
 	return s.Logic()
 }
 
-// Action prints one action of an instance as a line.
-func Action(out *bytes.Buffer, inst uint64, a *logic.Action) {
+// WriteAction appends the line for one action of an instance to out.
+func WriteAction(out *bytes.Buffer, inst uint64, a *logic.Action) {
 	switch a.Kind {
 	case logic.ActSend:
-		line(out, "PLACE", inst, "ref", a.Request, "server", a.Server)
-		duration(out, "timeout_ms", a.After)
+		writeLine(out, "PLACE", inst, "ref", a.Request, "server", a.Server)
+		writeDuration(out, "timeout_ms", a.After)
 	case logic.ActCancel:
-		line(out, "CALL_OFF", inst, "ref", a.Request, "send_no", uint64(a.Attempt))
+		writeLine(out, "CALL_OFF", inst, "ref", a.Request, "send_no", uint64(a.Attempt))
 	case logic.ActReject:
-		line(out, "SHED", inst, "ref", a.Request)
-		duration(out, "not_before_for_ms", a.After)
+		writeLine(out, "SHED", inst, "ref", a.Request)
+		writeDuration(out, "not_before_for_ms", a.After)
 	case logic.ActFail:
-		line(out, "FAIL", inst, "ref", a.Request)
+		writeLine(out, "FAIL", inst, "ref", a.Request)
 	case logic.ActWake:
-		line(out, "WAKE_ME", inst)
-		duration(out, "when_ms", a.At)
+		writeLine(out, "WAKE_ME", inst)
+		writeDuration(out, "when_ms", a.At)
 		fmt.Fprintf(out, " token=%d.%d", a.Timer.Kind, a.Timer.ID)
 	case logic.ActWatch:
-		line(out, "WATCH", inst, "want", uint64(1))
+		writeLine(out, "WATCH", inst, "want", uint64(1))
 	case logic.ActCloseIdle:
-		line(out, "RELEASE", inst, "server", a.Server)
+		writeLine(out, "RELEASE", inst, "server", a.Server)
 	case logic.ActLog:
-		Note(out, "DEBUG", inst, a.Text)
+		WriteText(out, "DEBUG", inst, a.Text)
 		return
 	}
 	out.WriteByte('\n')
 }
 
-// Note prints a line with a text, such as a log line or a fault.
-func Note(out *bytes.Buffer, tag string, inst uint64, text string) {
-	line(out, tag, inst)
+// WriteText appends a line with a text, such as a log line or a fault, to out. White space in the text becomes single
+// spaces.
+func WriteText(out *bytes.Buffer, tag string, inst uint64, text string) {
+	writeLine(out, tag, inst)
 	out.WriteString(" note_text=")
 	out.WriteString(strings.Join(strings.Fields(text), " "))
 	out.WriteByte('\n')
 }
 
-func line(out *bytes.Buffer, tag string, inst uint64, fields ...any) {
+func writeLine(out *bytes.Buffer, tag string, inst uint64, fields ...any) {
 	out.WriteString(tag)
-	number(out, "i", inst)
+	writeUint(out, "i", inst)
 	for k := 0; k+1 < len(fields); k += 2 {
-		number(out, fields[k].(string), fields[k+1].(uint64))
+		writeUint(out, fields[k].(string), fields[k+1].(uint64))
 	}
 }
 
-func number(out *bytes.Buffer, name string, v uint64) {
+func writeUint(out *bytes.Buffer, name string, v uint64) {
 	out.WriteByte(' ')
 	out.WriteString(name)
 	out.WriteByte('=')
 	out.Write(strconv.AppendUint(out.AvailableBuffer(), v, 10))
 }
 
-func duration(out *bytes.Buffer, name string, d time.Duration) {
+func writeDuration(out *bytes.Buffer, name string, d time.Duration) {
 	out.WriteByte(' ')
 	out.WriteString(name)
 	out.WriteByte('=')
