--- a/internal/sidecar/daemon/replace.go
+++ b/internal/sidecar/daemon/replace.go
@@ -28,7 +28,7 @@
 	}
 	binary = successor(binary)
 	d.replacing = true
-	timeout := options.ReadyTimeout()
+	timeout := options.Timeout()
 	d.log.Info().Str("binary", binary).Dur("timeout", timeout).Msg("replacement started")
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancelReplacement = cancel
--- a/internal/sidecar/daemon/sidecar.go
+++ b/internal/sidecar/daemon/sidecar.go
@@ -199,7 +199,7 @@
 		return err
 	}
 	operator := &s.cfg.Operator
-	if err := s.takeOver(operator.Replace.ReadyTimeout()); err != nil {
+	if err := s.takeOver(operator.Replace.Timeout()); err != nil {
 		return err
 	}
 	replaces := s.inherited.Replaces()
--- a/internal/sidecar/handover/handover.go
+++ b/internal/sidecar/handover/handover.go
@@ -21,26 +21,24 @@
 
 // Settings is the section replace of the operator's file.
 type Settings struct {
-	Enabled        bool    `toml:"enabled"`    // SIGUSR2 starts a new process that takes over
-	TimeoutSeconds float64 `toml:"patience_s"` // seconds within which the new process must be ready
+	Enabled  bool    `toml:"enabled"`    // SIGUSR2 starts a new process that takes over
+	TimeoutS float64 `toml:"patience_s"` // seconds within which the new process must be ready
 }
 
 // Defaults returns the settings that apply where the operator's file sets none.
-func Defaults() Settings { return Settings{TimeoutSeconds: 10} }
+func Defaults() Settings { return Settings{TimeoutS: 10} }
 
 const maxTimeoutSeconds = 600
 
 // Check calls fault for each key whose value cannot be used.
 func (s *Settings) Check(fault func(key string, read any, allowed string)) {
-	if !(s.TimeoutSeconds > 0 && s.TimeoutSeconds <= maxTimeoutSeconds) {
-		fault("patience_s", s.TimeoutSeconds, fmt.Sprintf("over 0, up to %d", maxTimeoutSeconds))
+	if !(s.TimeoutS > 0 && s.TimeoutS <= maxTimeoutSeconds) {
+		fault("patience_s", s.TimeoutS, fmt.Sprintf("over 0, up to %d", maxTimeoutSeconds))
 	}
 }
 
-// ReadyTimeout returns the time within which a new process must be ready.
-func (s *Settings) ReadyTimeout() time.Duration {
-	return time.Duration(s.TimeoutSeconds * float64(time.Second))
-}
+// Timeout returns the time within which a new process must be ready.
+func (s *Settings) Timeout() time.Duration { return time.Duration(s.TimeoutS * float64(time.Second)) }
 
 // inheritedEnv is the environment variable that lists the addresses of the inherited listeners, as a JSON array.
 const inheritedEnv = "FIELDRELAY_HANDOVER"
--- a/internal/sidecar/handover/handover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -171,7 +171,7 @@
 		t.Errorf("%+v, %v", in, err)
 	}
 	var faults []string
-	s := Settings{TimeoutSeconds: -1}
+	s := Settings{TimeoutS: -1}
 	s.Check(func(key string, _ any, _ string) { faults = append(faults, key) })
 	if len(faults) != 1 || faults[0] != "patience_s" {
 		t.Error(faults)
--- a/internal/tools/drawdays/budget.go
+++ b/internal/tools/drawdays/budget.go
@@ -4,9 +4,9 @@
 // generated entry makes the site lose more of them at once than it claims to tolerate. A machine counts as lost until
 // syncS after its return.
 type budget struct {
-	site            limits
-	spans           []lossSpan
-	removedFraction map[removal]float64 // fraction of the servers or of the edge machines removed so far in the day
+	site    limits
+	spans   []lossSpan
+	removed map[removal]float64 // fraction of the servers or of the edge machines removed so far in the day
 }
 
 type lossSpan struct {
@@ -22,18 +22,16 @@
 const rollStepS = 1.5
 
 func newBudget(site limits) budget {
-	return budget{site: site, removedFraction: map[removal]float64{}}
+	return budget{site: site, removed: map[removal]float64{}}
 }
 
 // allowsRemoval reports whether the fraction removed permanently stays within maxRemovedFraction with the entry.
 func (b *budget) allowsRemoval(leaves removal, entry fault) bool {
-	return leaves == removesNone || b.removedFraction[leaves]+entry.Fraction <= maxRemovedFraction
+	return leaves == removesNone || b.removed[leaves]+entry.Fraction <= maxRemovedFraction
 }
 
 // recordRemoval records the fraction that the entry removes permanently.
-func (b *budget) recordRemoval(leaves removal, entry fault) {
-	b.removedFraction[leaves] += entry.Fraction
-}
+func (b *budget) recordRemoval(leaves removal, entry fault) { b.removed[leaves] += entry.Fraction }
 
 // take reserves budget for the entry if enough is free, and reports whether it did.
 func (b *budget) take(takes loss, at float64, entry fault) bool {
