--- a/cmd/fieldrelay-region/check.go
+++ b/cmd/fieldrelay-region/check.go
@@ -18,6 +18,7 @@
 	Faults int
 }
 
+// Error names the file and the number of its faults.
 func (e *FaultyFileError) Error() string { return fmt.Sprintf("%s: %d faults", e.Path, e.Faults) }
 
 // checkCommand checks a settings file, a configuration or a state folder.
--- a/example/region/calls.go
+++ b/example/region/calls.go
@@ -35,6 +35,7 @@
 	Body   string
 }
 
+// Error names the call, the status and the body of the answer.
 func (e *StatusError) Error() string { return fmt.Sprintf("%s: %d %s", e.Call, e.Status, e.Body) }
 
 // configuration returns a configuration that routes all paths under /v1/ to the stub model servers.
