--- a/internal/testkit/contract/channel.go
+++ b/internal/testkit/contract/channel.go
@@ -168,7 +168,7 @@
 	}
 	defer end()
 	if a.Datagram(to, make([]byte, m.MostDatagram+1)) == nil {
-		return errors.New("Datagram accepted a frame over the maximum length")
+		return errors.New("method Datagram accepted a frame over the maximum length")
 	}
 	a.Stream(to, make([]byte, m.MostFrame+1))
 	if err := until("delivery of a frame sent after one over the maximum length", func() bool {
--- a/internal/testkit/contract/store.go
+++ b/internal/testkit/contract/store.go
@@ -110,21 +110,21 @@
 	}
 	n := 0
 	if err := s.Each("e/", func(string, []byte) error { n++; return nil }); err != nil || n != 2 {
-		return errors.Join(fmt.Errorf("Each found %d keys under e/, expected 2", n), err)
+		return errors.Join(fmt.Errorf("method Each found %d keys under e/, expected 2", n), err)
 	}
 	v, ok := s.Get("a")
 	if !ok || string(v) != "2" {
-		return fmt.Errorf("Get of key a returned %q, %v", v, ok)
+		return fmt.Errorf("method Get of key a returned %q, %v", v, ok)
 	}
 	v[0] = '9'
 	if v, _ := s.Get("a"); string(v) != "2" {
-		return errors.New("Get returned the stored value itself, not a copy")
+		return errors.New("method Get returned the stored value itself, not a copy")
 	}
 	if _, ok := s.Get("never"); ok {
-		return errors.New("Get found a key that was never stored")
+		return errors.New("method Get found a key that was never stored")
 	}
 	if err := put(s, "", "x"); err == nil {
-		return errors.New("Commit accepted an empty key")
+		return errors.New("method Commit accepted an empty key")
 	}
 	return nil
 }
@@ -139,7 +139,7 @@
 		return err
 	}
 	if err := put(s, "a", "2", "big", string(make([]byte, m.Most))); !errors.Is(err, store.ErrFull) {
-		return errors.Join(errors.New("Commit did not reject a batch over the size limit with ErrFull"), err)
+		return errors.Join(errors.New("method Commit did not reject a batch over the size limit with ErrFull"), err)
 	}
 	if got, _ := dump(s); got != "a=1 " {
 		return fmt.Errorf("store holds %q after a rejected batch", got)
